--- a/crates/core/src/forwarding.rs
+++ b/crates/core/src/forwarding.rs
@@ -14,11 +14,11 @@
 mod objects;
 mod placement;
 mod position;
-mod reading;
 mod removed;
 mod returning;
 mod signals;
 mod steps;
+mod store_reads;
 mod table;
 mod timeouts;
 
@@ -42,9 +42,11 @@
 };
 pub use placement::{Chosen, MAX_GRANT_CANDIDATES, Placement, Prompt, PromptPart};
 pub use position::{Cursor, Position};
-pub use reading::{InForce, Reader, StoreRetry, TellingBudget, is_told, reserves};
 pub use returning::UsualDeadlines;
 pub use signals::{BackoffRequest, Departure, ServerSignals};
 pub use steps::{AttemptEnd, Giving, NextStep, Repeats, next_step};
+pub use store_reads::{
+    ListingBudget, PropagationBounds, StoreRetry, StoreRole, is_relayed_to_peers, reserves,
+};
 pub use table::{Matched, RouteTable, Unroutable};
 pub use timeouts::{answer_timeout_ms, event_timeout_ms};
--- a/crates/core/src/forwarding/reading.rs
+++ b/crates/core/src/forwarding/store_reads.rs
@@ -44,7 +44,7 @@
 const ROUTE_BYTES: usize = 60;
 
 /// Tells whether one instance tells `config` to others who reach the store.
-pub fn is_told(config: &RoutingConfig) -> bool {
+pub fn is_relayed_to_peers(config: &RoutingConfig) -> bool {
     let routes = config.routes.iter();
     let routes = routes.map(|route| {
         let names = [&route.name, &route.host, &route.path_prefix];
@@ -67,12 +67,12 @@
 
 /// Bounds what an instance tells to those that know nothing.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct TellingBudget {
+pub struct ListingBudget {
     /// Time until which what was told takes the budget, in ms.
     busy_until_ms: u64,
 }
 
-impl TellingBudget {
+impl ListingBudget {
     /// Takes a listing of `servers` out of the budget, if that is not used up.
     pub fn try_take(&mut self, now_ms: u64, servers: usize) -> bool {
         if self.busy_until_ms > now_ms + 1_000 {
@@ -87,14 +87,14 @@
 
 /// Times within which what the platform says has to be in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct InForce {
+pub struct PropagationBounds {
     /// Time within which a configuration has to be, in ms.
     pub configuration_ms: u64,
     /// Time within which a server that is leaving gets nothing new, in ms.
     pub leaving_ms: u64,
 }
 
-impl InForce {
+impl PropagationBounds {
     /// Returns the shorter of both, in ms.
     pub fn shortest_ms(self) -> u64 {
         self.configuration_ms.min(self.leaving_ms)
@@ -103,7 +103,7 @@
 
 /// What an instance has to do with the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reader {
+pub enum StoreRole {
     /// It schedules, and reads the store for all.
     Scheduler,
     /// It reads it when the one that schedules does not tell what is new.
@@ -112,7 +112,7 @@
     Follower,
 }
 
-impl Reader {
+impl StoreRole {
     /// Returns what `me` is.
     pub fn of(
         me: &InstanceName,
@@ -131,7 +131,7 @@
     /// Returns the age of what it was told last from which it reads the store itself,
     /// in ms. `has_store` says whether the one that schedules reaches the store: where
     /// it does not, reserves read it all the time, as that one does otherwise.
-    pub fn reads_from_ms(self, in_force: InForce, has_store: bool) -> u64 {
+    pub fn store_read_age_ms(self, in_force: PropagationBounds, has_store: bool) -> u64 {
         let percent = match self {
             Self::Scheduler => 0,
             Self::Reserve if !has_store => 0,
@@ -144,7 +144,7 @@
     /// Returns the age of what it knows from which it queries the reserves, in ms.
     /// `has_store` says whether this instance reaches the store: a scheduler that does not
     /// queries them all the time, as all others wait for what it tells them.
-    pub fn queries_reserves_from_ms(self, in_force: InForce, has_store: bool) -> u64 {
+    pub fn reserve_query_age_ms(self, in_force: PropagationBounds, has_store: bool) -> u64 {
         match self {
             Self::Scheduler if !has_store => 0,
             Self::Scheduler | Self::Reserve | Self::Follower => {
@@ -220,7 +220,7 @@
 
     /// Notes a call that failed; `spread`, from 0 to 1, differs from instance to
     /// instance, so that they do not try together.
-    pub fn on_failed(&mut self, now_ms: u64, reader: Reader, spread: f64) {
+    pub fn on_failed(&mut self, now_ms: u64, reader: StoreRole, spread: f64) {
         if self.failures > 0 && !self.is_trying {
             // It was begun together with the first that failed.
             return;
--- a/crates/core/tests/forwarding_reading.rs
+++ b/crates/core/tests/forwarding_store_reads.rs
@@ -2,12 +2,13 @@
 
 use savoryvane_core::{
     forwarding::{
-        InForce, Reader, RoutingConfig, StoreRetry, TellingBudget, WorkspaceKeys, is_told, reserves,
+        ListingBudget, PropagationBounds, RoutingConfig, StoreRetry, StoreRole, WorkspaceKeys,
+        is_relayed_to_peers, reserves,
     },
     ids::{InstanceName, WorkspaceName, ZoneName},
 };
 
-const IN_FORCE: InForce = InForce {
+const IN_FORCE: PropagationBounds = PropagationBounds {
     configuration_ms: 4_000,
     leaving_ms: 2_000,
 };
@@ -43,8 +44,8 @@
 fn a_reserve_reads_before_the_others() {
     let reserves = [InstanceName::new("r")];
     let scheduler = InstanceName::new("s");
-    let of = |name: &str| Reader::of(&InstanceName::new(name), Some(&scheduler), &reserves);
-    let from_ms = |name: &str, has_store| of(name).reads_from_ms(IN_FORCE, has_store);
+    let of = |name: &str| StoreRole::of(&InstanceName::new(name), Some(&scheduler), &reserves);
+    let from_ms = |name: &str, has_store| of(name).store_read_age_ms(IN_FORCE, has_store);
     for has_store in [true, false] {
         assert_eq!(from_ms("s", has_store), 0);
         assert!(from_ms("r", has_store) + 300 <= from_ms("f", has_store));
@@ -60,13 +61,17 @@
 /// A scheduler that the store rejects learns from the reserves at once what it tells on.
 #[test]
 fn a_scheduler_without_the_store_does_not_wait_until_its_knowledge_is_old() {
-    let from_ms = |reader: Reader, has_store| reader.queries_reserves_from_ms(IN_FORCE, has_store);
-    assert_eq!(from_ms(Reader::Scheduler, false), 0);
-    for reader in [Reader::Scheduler, Reader::Reserve, Reader::Follower] {
+    let from_ms = |reader: StoreRole, has_store| reader.reserve_query_age_ms(IN_FORCE, has_store);
+    assert_eq!(from_ms(StoreRole::Scheduler, false), 0);
+    for reader in [
+        StoreRole::Scheduler,
+        StoreRole::Reserve,
+        StoreRole::Follower,
+    ] {
         let waits_ms = from_ms(reader, true);
         assert!((1_000..IN_FORCE.shortest_ms()).contains(&waits_ms));
     }
-    for reader in [Reader::Reserve, Reader::Follower] {
+    for reader in [StoreRole::Reserve, StoreRole::Follower] {
         assert_eq!(from_ms(reader, false), from_ms(reader, true));
     }
 }
@@ -76,11 +81,11 @@
 /// calm day where reserves read from an age of 1.0 s on, and 199 with this.
 #[test]
 fn a_reserve_leaves_the_store_alone_on_a_calm_day() {
-    let shortest = InForce {
+    let shortest = PropagationBounds {
         configuration_ms: 2_000,
         leaving_ms: 2_000,
     };
-    assert!(Reader::Reserve.reads_from_ms(shortest, true) >= 800 + 250 + 100);
+    assert!(StoreRole::Reserve.store_read_age_ms(shortest, true) >= 800 + 250 + 100);
 }
 
 /// Calls of a fleet in an outage of the store of 8 s, each instance with three topics
@@ -91,7 +96,7 @@
     let reserves = reserves_of(&fleet);
     let mut calls = 0;
     for (index, (instance, _)) in fleet.iter().enumerate() {
-        let reader = Reader::of(instance, Some(&fleet[0].0), &reserves);
+        let reader = StoreRole::of(instance, Some(&fleet[0].0), &reserves);
         let spread = index as f64 / fleet.len() as f64;
         let mut retry = StoreRetry::default();
         for now_ms in (0..8_000).step_by(10) {
@@ -110,7 +115,7 @@
 fn one_call_at_a_time_tries_a_store_that_failed() {
     let mut retry = StoreRetry::default();
     assert_eq!(retry.begin(0), None);
-    retry.on_failed(0, Reader::Scheduler, 0.5);
+    retry.on_failed(0, StoreRole::Scheduler, 0.5);
     assert!(retry.begin(10).is_some(), "not at once");
     assert_eq!(retry.begin(200), None);
     assert!(retry.begin(200).is_some(), "another one waits for the try");
@@ -122,13 +127,13 @@
 #[test]
 fn a_store_that_is_back_is_noticed_within_a_second_or_so() {
     let mut retry = StoreRetry::default();
-    retry.on_failed(0, Reader::Scheduler, 1.0);
+    retry.on_failed(0, StoreRole::Scheduler, 1.0);
     let mut last_ms = 0;
     for now_ms in (0..60_000).step_by(10) {
         if retry.begin(now_ms).is_none() {
             assert!(now_ms - last_ms <= 1_200, "{last_ms} to {now_ms}");
             last_ms = now_ms;
-            retry.on_failed(now_ms, Reader::Scheduler, 1.0);
+            retry.on_failed(now_ms, StoreRole::Scheduler, 1.0);
         }
     }
 }
@@ -147,8 +152,8 @@
             .collect(),
         ..RoutingConfig::default()
     };
-    assert!(is_told(&config(40)));
-    assert!(!is_told(&config(13_000)));
+    assert!(is_relayed_to_peers(&config(40)));
+    assert!(!is_relayed_to_peers(&config(13_000)));
 }
 
 /// 300 that start without the store ask the same one, each every 250 ms: it tells some of
@@ -156,7 +161,7 @@
 #[test]
 fn those_that_know_nothing_are_told_one_after_the_other() {
     for (servers, in_first_s) in [(294, 41..=49), (3_002, 3..=5)] {
-        let mut budget = TellingBudget::default();
+        let mut budget = ListingBudget::default();
         let mut told = 0;
         for now_ms in (0..5_000).step_by(250) {
             if now_ms == 1_000 {
--- a/crates/server/src/gateway/catch_up.rs
+++ b/crates/server/src/gateway/catch_up.rs
@@ -7,7 +7,7 @@
 };
 
 use savoryvane_core::{
-    forwarding::{DirectoryUpdate, KnownUpTo, TellingBudget, is_told},
+    forwarding::{DirectoryUpdate, KnownUpTo, ListingBudget, is_relayed_to_peers},
     ids::{Incarnation, InstanceName},
     membership::Contact,
 };
@@ -34,7 +34,7 @@
     /// The run whose directory was taken over last, and its revision.
     source: Mutex<Option<(Incarnation, u64)>>,
     clock: Clock,
-    telling: Mutex<TellingBudget>,
+    telling: Mutex<ListingBudget>,
 }
 
 impl CatchUp {
@@ -189,7 +189,7 @@
         let table = self.knowledge.table();
         let config = table
             .filter(|table| table.version() > question.version)
-            .filter(|table| !question.has_store || is_told(table.config()))
+            .filter(|table| !question.has_store || is_relayed_to_peers(table.config()))
             .map(|table| (**table.config()).clone());
         Some(RoutingState {
             known,
--- a/crates/server/src/gateway/follow.rs
+++ b/crates/server/src/gateway/follow.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use savoryvane_core::forwarding::{Position, Reader};
+use savoryvane_core::forwarding::{Position, StoreRole};
 use savoryvane_platform::{
     configuration,
     store::{CONFIGURATION_KEY, Topic},
@@ -203,7 +203,7 @@
         if reads > 0 && members.is_missing_in_copy() {
             list_again(&members, &store, &log).await;
         }
-        if reads > 0 && reader != Reader::Scheduler && freshness.is_told(reader) {
+        if reads > 0 && reader != StoreRole::Scheduler && freshness.is_told(reader) {
             time::sleep(TOLD_INTERVAL).await;
             continue;
         }
--- a/crates/server/src/gateway/freshness.rs
+++ b/crates/server/src/gateway/freshness.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-use savoryvane_core::forwarding::{InForce, Reader};
+use savoryvane_core::forwarding::{PropagationBounds, StoreRole};
 
 use crate::clock::Clock;
 
@@ -10,7 +10,7 @@
 #[derive(Debug)]
 pub(super) struct Freshness {
     clock: Clock,
-    in_force: InForce,
+    in_force: PropagationBounds,
     configuration_ms: AtomicU64,
     servers_ms: AtomicU64,
     /// Time until which a peer has told all that it knew, in ms.
@@ -22,7 +22,7 @@
 }
 
 impl Freshness {
-    pub(super) fn new(clock: Clock, in_force: InForce) -> Self {
+    pub(super) fn new(clock: Clock, in_force: PropagationBounds) -> Self {
         Self {
             clock,
             in_force,
@@ -79,16 +79,16 @@
     }
 
     /// Tells whether `reader` leaves the store alone, since it is told what that says.
-    pub(super) fn is_told(&self, reader: Reader) -> bool {
+    pub(super) fn is_told(&self, reader: StoreRole) -> bool {
         let has_store = self.scheduler_has_store.load(Ordering::Relaxed);
-        self.age_ms(&self.told_ms) < reader.reads_from_ms(self.in_force, has_store)
+        self.age_ms(&self.told_ms) < reader.store_read_age_ms(self.in_force, has_store)
     }
 
     /// Tells whether `reader`, which reaches the store if `has_store`, queries the reserves
     /// for what is new.
-    pub(super) fn wants_reserves(&self, reader: Reader, has_store: bool) -> bool {
+    pub(super) fn wants_reserves(&self, reader: StoreRole, has_store: bool) -> bool {
         let oldest_ms = self.configuration_age_ms().max(self.servers_age_ms());
-        oldest_ms >= reader.queries_reserves_from_ms(self.in_force, has_store)
+        oldest_ms >= reader.reserve_query_age_ms(self.in_force, has_store)
     }
 
     fn age_ms(&self, at: &AtomicU64) -> u64 {
--- a/crates/server/src/gateway/keeping.rs
+++ b/crates/server/src/gateway/keeping.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use savoryvane_core::{forwarding::Reader, poison::StoredCrashes};
+use savoryvane_core::{forwarding::StoreRole, poison::StoredCrashes};
 use savoryvane_platform::{quarantine, store::Topic};
 use slog::{Logger, info, warn};
 use tokio::time;
@@ -68,7 +68,7 @@
             let _ = time::timeout(look, changed).await;
             time::sleep(GATHER_TIME).await;
             self.quarantine.book().forget_old(self.clock.now_ms());
-            if self.members.reader() != Reader::Scheduler {
+            if self.members.reader() != StoreRole::Scheduler {
                 // Another one writes meanwhile.
                 has_read = false;
                 continue;
@@ -94,7 +94,7 @@
 
     /// Tells whether this instance schedules and has not read the store for it.
     fn is_waited_for(&self, has_read: bool) -> bool {
-        !has_read && self.members.reader() == Reader::Scheduler
+        !has_read && self.members.reader() == StoreRole::Scheduler
     }
 
     /// Reads what is kept; tells whether it could.
--- a/crates/server/src/gateway/members.rs
+++ b/crates/server/src/gateway/members.rs
@@ -10,7 +10,7 @@
 };
 
 use savoryvane_core::{
-    forwarding::{Cursor, Reader},
+    forwarding::{Cursor, StoreRole},
     ids::{Incarnation, InstanceName, ZoneName},
     membership::Contact,
     stages::{Candidate, SchedulerChoice},
@@ -97,10 +97,10 @@
     }
 
     /// Returns what this instance has to do with the store.
-    pub(super) fn reader(&self) -> Reader {
+    pub(super) fn reader(&self) -> StoreRole {
         let scheduler = self.scheduler();
         let listed = self.listed();
-        Reader::of(&self.me, scheduler.as_ref(), listed.reserves())
+        StoreRole::of(&self.me, scheduler.as_ref(), listed.reserves())
     }
 
     /// Tells whether `instance` is this one.
--- a/crates/server/src/gateway/settings.rs
+++ b/crates/server/src/gateway/settings.rs
@@ -4,7 +4,7 @@
 
 use savoryvane_check::{self as check, Fields, Problems};
 use savoryvane_core::{
-    forwarding::{BudgetSettings, InForce},
+    forwarding::{BudgetSettings, PropagationBounds},
     ids::{InstanceName, RegionName, ZoneName},
     poison::QuarantineSettings,
 };
@@ -26,7 +26,7 @@
 
 /// Times within which what the platform says has to be in force where the settings do
 /// not say: the shortest that any platform has asked for.
-const DEFAULT_IN_FORCE: InForce = InForce {
+const DEFAULT_IN_FORCE: PropagationBounds = PropagationBounds {
     configuration_ms: 2_000,
     leaving_ms: 2_000,
 };
@@ -57,7 +57,7 @@
     /// What all instances together may send again.
     pub repeats: BudgetSettings,
     /// Times within which what the platform says has to be in force.
-    pub in_force: InForce,
+    pub in_force: PropagationBounds,
     /// How long requests that end servers are refused, and how many are remembered.
     pub quarantine: QuarantineSettings,
     /// How it logs.
@@ -178,10 +178,10 @@
     })
 }
 
-fn read_in_force(fields: &mut Fields<'_>) -> Option<InForce> {
+fn read_in_force(fields: &mut Fields<'_>) -> Option<PropagationBounds> {
     let times_ms = MIN_IN_FORCE_MS..=MAX_DURATION_MS;
     let default = DEFAULT_IN_FORCE;
-    Some(InForce {
+    Some(PropagationBounds {
         configuration_ms: fields.number(
             "configuration_ms",
             times_ms.clone(),
--- a/crates/server/src/gateway/store.rs
+++ b/crates/server/src/gateway/store.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use http::StatusCode;
 use quick_error::quick_error;
-use savoryvane_core::forwarding::{Position, Reader, StoreRetry};
+use savoryvane_core::forwarding::{Position, StoreRetry, StoreRole};
 use savoryvane_platform::store::{self, Call, InstanceRecord, Page, Read, Record, Topic};
 use tokio::time;
 
@@ -106,7 +106,7 @@
 #[derive(Debug)]
 struct Turns {
     retry: StoreRetry,
-    reader: Reader,
+    reader: StoreRole,
     /// Latest era that the store has answered from.
     era: u64,
     /// Time at which a call failed last, in ms.
@@ -121,7 +121,7 @@
             turns: Arc::new(Mutex::new(Turns {
                 retry: StoreRetry::default(),
                 // Until it knows what it is, it has nobody else to rely on.
-                reader: Reader::Reserve,
+                reader: StoreRole::Reserve,
                 era: 0,
                 failed_at_ms: None,
             })),
@@ -135,7 +135,7 @@
 
     /// Takes over what this instance has to do with the store, which is to be known once
     /// it has routes and servers: until then it has nobody else to rely on.
-    pub(super) fn set_reader(&self, reader: Reader) {
+    pub(super) fn set_reader(&self, reader: StoreRole) {
         self.turns().reader = reader;
     }
 
