--- a/crates/core/src/forwarding.rs
+++ b/crates/core/src/forwarding.rs
@@ -27,7 +27,7 @@
 pub use budget::{BudgetSettings, RepeatBudgets};
 pub use cold::{ARRIVAL_MS, ColdServers, WINDOW_MS};
 pub use directory::Directory;
-pub use entry::{DirectoryUpdate, KnownUpTo, LapsingServer, ServerEntry, ServerState};
+pub use entry::{DirectoryUpdate, ExpiringServer, ServerEntry, ServerState, SyncPoint};
 pub use evacuation::{
     EvacuationState, Evacuations, LISTED_FOR_MS, MAX_ZONES, MISSING_FOR_MS, ZoneOrder,
 };
--- a/crates/core/src/forwarding/directory.rs
+++ b/crates/core/src/forwarding/directory.rs
@@ -4,7 +4,7 @@
 
 use super::{
     Cursor, Position, RoutingConfig, Service,
-    entry::{DirectoryUpdate, KnownUpTo, LapsingServer, ServerEntry, ServerState},
+    entry::{DirectoryUpdate, ExpiringServer, ServerEntry, ServerState, SyncPoint},
     removed::RemovedServers,
 };
 use crate::{
@@ -74,7 +74,7 @@
     }
 
     /// Notes that the register is known up to `cursor`.
-    pub fn on_known_to(&mut self, cursor: Cursor) {
+    pub fn advance_cursor(&mut self, cursor: Cursor) {
         self.cursor = self.cursor.max(cursor);
     }
 
@@ -108,7 +108,7 @@
 
     /// Returns up to `most` other servers of the availability zone of `entry` that take
     /// work, of any service, spread over all that there are.
-    pub fn neighbours(&self, entry: &ServerEntry, most: usize) -> Vec<&ServerEntry> {
+    pub fn same_zone_servers(&self, entry: &ServerEntry, most: usize) -> Vec<&ServerEntry> {
         let entries = self.entries.values();
         let neighbours = entries.filter(|other| {
             other.zone == entry.zone && other.id != entry.id && other.state == ServerState::Ready
@@ -130,7 +130,7 @@
             Some(entry) => self.apply(registered_as, Some(entry), Some(cursor)),
             None => self.remove_at(registered_as, at, cursor),
         };
-        self.on_known_to(cursor);
+        self.advance_cursor(cursor);
         has_changed
     }
 
@@ -332,14 +332,14 @@
             }
         }
         self.changes_from = cursor;
-        self.on_known_to(cursor);
+        self.advance_cursor(cursor);
         self.revision != before
     }
 
     /// Returns the servers that have lapsed, with the time that each has left.
-    pub fn lapsing(&self, now_ms: u64) -> Vec<LapsingServer> {
+    pub fn expiring(&self, now_ms: u64) -> Vec<ExpiringServer> {
         let lapsing = self.lapsing.iter().filter_map(|(registered_as, at_ms)| {
-            Some(LapsingServer {
+            Some(ExpiringServer {
                 position: self.entries.get(registered_as)?.position,
                 registered_as: registered_as.clone(),
                 left_ms: at_ms.saturating_sub(now_ms),
@@ -349,12 +349,12 @@
     }
 
     /// Returns the servers that have lapsed.
-    pub fn lapsing_names(&self) -> Vec<BackendName> {
+    pub fn expiring_names(&self) -> Vec<BackendName> {
         self.lapsing.keys().cloned().collect()
     }
 
     /// Adds what `servers` say of themselves to an update, also where that has not changed.
-    pub fn add_to(&self, update: &mut DirectoryUpdate, servers: &[BackendName]) {
+    pub fn include_entries(&self, update: &mut DirectoryUpdate, servers: &[BackendName]) {
         let DirectoryUpdate::Changes(changes) = update else {
             return;
         };
@@ -366,7 +366,7 @@
     }
 
     /// Takes over which servers have lapsed from another instance.
-    pub fn on_lapsing(&mut self, now_ms: u64, lapsing: &[LapsingServer]) {
+    pub fn on_expiring(&mut self, now_ms: u64, lapsing: &[ExpiringServer]) {
         for server in lapsing {
             let known = self.entries.get(&server.registered_as);
             if known.is_none_or(|known| known.position > server.position) {
@@ -380,7 +380,7 @@
     }
 
     /// Takes servers for gone that have not written themselves again in time; returns them.
-    pub fn remove_lapsed(&mut self, now_ms: u64) -> Vec<BackendName> {
+    pub fn remove_expired(&mut self, now_ms: u64) -> Vec<BackendName> {
         let lapsed = self.lapsing.iter().filter(|(_, at_ms)| **at_ms <= now_ms);
         let lapsed: Vec<BackendName> = lapsed.map(|(id, _)| id.clone()).collect();
         for registered_as in &lapsed {
@@ -412,7 +412,7 @@
                 }
             }
         }
-        self.on_known_to(cursor);
+        self.advance_cursor(cursor);
         self.revision != before
     }
 
@@ -441,21 +441,21 @@
 
     /// Returns what one does not know that knows the register up to `known`;
     /// everything when that is unknown or too long ago.
-    pub fn update_for(&self, known: KnownUpTo) -> DirectoryUpdate {
+    pub fn update_for(&self, known: SyncPoint) -> DirectoryUpdate {
         let is_whole = match known {
-            KnownUpTo::Revision(since) => {
+            SyncPoint::Revision(since) => {
                 let oldest = self.changes.front();
                 let oldest = oldest.map_or(self.revision, |change| change.revision - 1);
                 !(oldest..=self.revision).contains(&since)
             }
-            KnownUpTo::Cursor(cursor) => cursor.is_start() || cursor < self.changes_from,
+            SyncPoint::Cursor(cursor) => cursor.is_start() || cursor < self.changes_from,
         };
         if is_whole {
             return DirectoryUpdate::Whole(self.entries.values().cloned().collect());
         }
         let is_new = |change: &&Change| match known {
-            KnownUpTo::Revision(since) => change.revision > since,
-            KnownUpTo::Cursor(known) => change.cursor.is_none_or(|cursor| cursor > known),
+            SyncPoint::Revision(since) => change.revision > since,
+            SyncPoint::Cursor(known) => change.cursor.is_none_or(|cursor| cursor > known),
         };
         let changed: BTreeSet<&BackendName> = self
             .changes
--- a/crates/core/src/forwarding/entry.rs
+++ b/crates/core/src/forwarding/entry.rs
@@ -81,7 +81,7 @@
 
 /// How far one that asks for an update knows the register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KnownUpTo {
+pub enum SyncPoint {
     /// It has taken over the directory that it asks at this revision.
     Revision(u64),
     /// It knows the register up to this cursor, from elsewhere.
@@ -91,7 +91,7 @@
 /// A server whose entry the register lacked after an outage of the store: it is told as
 /// such, since nothing says yet that it runs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LapsingServer {
+pub struct ExpiringServer {
     /// What it is registered as.
     pub registered_as: BackendName,
     /// Position of its last entry.
--- a/crates/core/src/forwarding/evacuation.rs
+++ b/crates/core/src/forwarding/evacuation.rs
@@ -85,7 +85,7 @@
     }
 
     /// Notes that the operator's records are known up to `cursor`.
-    pub fn on_known_to(&mut self, cursor: Cursor) {
+    pub fn advance_cursor(&mut self, cursor: Cursor) {
         self.cursor = self.cursor.max(cursor);
     }
 
@@ -137,7 +137,7 @@
                 self.put_later(zone, true, position, false);
             }
         }
-        self.on_known_to(cursor);
+        self.advance_cursor(cursor);
     }
 
     /// Takes over what a store that came back from a copy says, where the operator has not
@@ -174,7 +174,7 @@
         if other.cursor <= self.cursor {
             return;
         }
-        if other.cursor.is_of_copy_to(self.cursor) {
+        if other.cursor.is_less_complete_copy_than(self.cursor) {
             return self.apply_told_copy(now_ms, other);
         }
         let zones = other.zones.into_iter().take(MAX_ZONES).map(|told| {
--- a/crates/core/src/forwarding/position.rs
+++ b/crates/core/src/forwarding/position.rs
@@ -66,7 +66,7 @@
     /// Tells whether one with this cursor knows the topic from a copy of the store, where one
     /// that knows it up to `known` may remember more of the time before: what it says is
     /// weighed against that, as the copy itself is.
-    pub fn is_of_copy_to(self, known: Self) -> bool {
+    pub fn is_less_complete_copy_than(self, known: Self) -> bool {
         let is_later = self.era > known.era && !known.is_start();
         let remembers_as_much =
             self.era == known.era + 1 && known.before == 0 && self.before >= known.as_before();
--- a/crates/core/tests/forwarding_copies.rs
+++ b/crates/core/tests/forwarding_copies.rs
@@ -6,8 +6,8 @@
 use quickcheck::{TestResult, quickcheck};
 use savoryvane_core::{
     forwarding::{
-        Cursor, Directory, DirectoryUpdate, Evacuations, KnownUpTo, LISTED_FOR_MS, MISSING_FOR_MS,
-        Position, ServerEntry, ServerState,
+        Cursor, Directory, DirectoryUpdate, Evacuations, LISTED_FOR_MS, MISSING_FOR_MS, Position,
+        ServerEntry, ServerState, SyncPoint,
     },
     ids::{BackendName, PoolName, ZoneName},
 };
@@ -33,7 +33,7 @@
     if !is_evacuated {
         evacuations.apply(zone(), false, at(0, 2));
     }
-    evacuations.on_known_to(Cursor::default().advanced_to(0, offset));
+    evacuations.advance_cursor(Cursor::default().advanced_to(0, offset));
     evacuations
 }
 
@@ -169,9 +169,9 @@
 fn a_server_that_a_copy_lacks_is_gone_once_its_time_is_over() {
     let mut directory = before_the_copy();
     directory.update_after_outage(Vec::new(), up_to(1, 0), GRACE_MS);
-    assert!(directory.remove_lapsed(GRACE_MS - 1).is_empty());
+    assert!(directory.remove_expired(GRACE_MS - 1).is_empty());
     assert!(has(&directory, "i-2"));
-    assert_eq!(directory.remove_lapsed(GRACE_MS).len(), 1);
+    assert_eq!(directory.remove_expired(GRACE_MS).len(), 1);
     assert!(!has(&directory, "i-2"));
 }
 
@@ -183,15 +183,15 @@
     source.update_after_outage(Vec::new(), up_to(0, 4), GRACE_MS);
     let mut told = Directory::default();
     told.update_to(
-        source.update_for(KnownUpTo::Cursor(Cursor::default())),
+        source.update_for(SyncPoint::Cursor(Cursor::default())),
         source.cursor(),
     );
-    told.on_lapsing(1_000, &source.lapsing(1_000));
+    told.on_expiring(1_000, &source.expiring(1_000));
     assert!(has(&told, "i-2"));
-    assert_eq!(told.remove_lapsed(GRACE_MS).len(), 1);
+    assert_eq!(told.remove_expired(GRACE_MS).len(), 1);
     let mut knows = before_the_copy();
     knows.apply_record(&"i-2".into(), None, at(0, 3), up_to(0, 4));
-    let whole = source.update_for(KnownUpTo::Cursor(Cursor::default()));
+    let whole = source.update_for(SyncPoint::Cursor(Cursor::default()));
     knows.update_to(whole, source.cursor());
     assert!(!has(&knows, "i-2"));
 }
@@ -205,11 +205,11 @@
     let mut other = before_the_copy();
     let back = server("i-2", at(0, 5));
     other.apply_record(&"i-2".into(), Some(back), at(0, 5), up_to(0, 6));
-    let known = KnownUpTo::Cursor(lapsing.cursor());
+    let known = SyncPoint::Cursor(lapsing.cursor());
     let mut update = other.update_for(known);
-    other.add_to(&mut update, &lapsing.lapsing_names());
+    other.include_entries(&mut update, &lapsing.expiring_names());
     lapsing.update_to(update, other.cursor());
-    assert!(lapsing.remove_lapsed(GRACE_MS).is_empty());
+    assert!(lapsing.remove_expired(GRACE_MS).is_empty());
     assert!(has(&lapsing, "i-2"));
 }
 
@@ -237,7 +237,7 @@
                 let known_to = usize::from(known_to) % (orders.len() + 1);
                 records(&mut evacuations, 0, 0, known_to);
                 let cursor = Cursor::default().advanced_to(0, known_to as u64);
-                evacuations.on_known_to(cursor);
+                evacuations.advance_cursor(cursor);
             }
             // Each reads the copy first.
             let last = orders[..copied].iter().rposition(|_| true);
@@ -253,7 +253,7 @@
                 evacuations.settle(MISSING_FOR_MS);
             }
             let cursor = evacuations.cursor().advanced_to(1, orders.len() as u64);
-            evacuations.on_known_to(cursor);
+            evacuations.advance_cursor(cursor);
         }
         let last = orders.last().copied().unwrap_or_default();
         let words: BTreeSet<bool> = instances.iter().map(is_evacuated).collect();
--- a/crates/core/tests/forwarding_model.rs
+++ b/crates/core/tests/forwarding_model.rs
@@ -142,7 +142,7 @@
                 let told = next.instances[from].last_word;
                 let to = &mut next.instances[to];
                 let known = to.evacuations.cursor();
-                if state.cursor > known && !state.cursor.is_of_copy_to(known) {
+                if state.cursor > known && !state.cursor.is_less_complete_copy_than(known) {
                     to.last_word = to.last_word.max(told);
                 }
                 to.evacuations.update(0, state);
@@ -184,7 +184,7 @@
             for (offset, word) in self.records.iter().enumerate().skip(from) {
                 evacuations.apply(zone(), is_evacuation(*word), at(offset));
             }
-            evacuations.on_known_to(cursor);
+            evacuations.advance_cursor(cursor);
         } else {
             let last = self.records.len().checked_sub(1);
             let listed = last.filter(|last| is_evacuation(self.records[*last]));
@@ -302,8 +302,8 @@
     assert!(remembers > read);
     assert!(read > Cursor::default().advanced_to(0, 50));
     assert!(read.advanced_to(1, 10) > read);
-    assert!(read.is_of_copy_to(Cursor::default().advanced_to(0, 5)));
-    assert!(!remembers.is_of_copy_to(Cursor::default().advanced_to(0, 5)));
-    assert!(remembers.is_of_copy_to(Cursor::default().advanced_to(0, 6)));
-    assert!(!read.is_of_copy_to(remembers));
+    assert!(read.is_less_complete_copy_than(Cursor::default().advanced_to(0, 5)));
+    assert!(!remembers.is_less_complete_copy_than(Cursor::default().advanced_to(0, 5)));
+    assert!(remembers.is_less_complete_copy_than(Cursor::default().advanced_to(0, 6)));
+    assert!(!read.is_less_complete_copy_than(remembers));
 }
--- a/crates/core/tests/forwarding_rules.rs
+++ b/crates/core/tests/forwarding_rules.rs
@@ -4,9 +4,9 @@
 
 use savoryvane_core::{
     forwarding::{
-        AttemptEnd, BudgetSettings, Cursor, Directory, DirectoryUpdate, Giving, KnownUpTo,
-        NextStep, Position, RepeatBudgets, Repeats, Route, RouteKind, RouteTable, RoutingConfig,
-        ServerEntry, ServerState, Target, Unroutable, UsualDeadlines, WorkspaceKeys, next_step,
+        AttemptEnd, BudgetSettings, Cursor, Directory, DirectoryUpdate, Giving, NextStep, Position,
+        RepeatBudgets, Repeats, Route, RouteKind, RouteTable, RoutingConfig, ServerEntry,
+        ServerState, SyncPoint, Target, Unroutable, UsualDeadlines, WorkspaceKeys, next_step,
     },
     ids::{BackendName, PoolName, WorkspaceName, ZoneName},
 };
@@ -291,18 +291,18 @@
         );
     }
     let mut other = Directory::default();
-    let whole = directory.update_for(KnownUpTo::Cursor(Cursor::default()));
+    let whole = directory.update_for(SyncPoint::Cursor(Cursor::default()));
     assert!(matches!(&whole, DirectoryUpdate::Whole(all) if all.len() == 3));
     other.update_to(whole, directory.cursor());
     let known = directory.revision();
     apply(&mut directory, &BackendName::new("i-2"), None);
     directory.on_leaving(&BackendName::new("i-3"));
-    let update = directory.update_for(KnownUpTo::Revision(known));
+    let update = directory.update_for(SyncPoint::Revision(known));
     assert!(matches!(&update, DirectoryUpdate::Changes(changes) if changes.len() == 2));
     other.update_to(update, directory.cursor());
     assert_eq!(state_of(&other, "i-2"), None);
     assert_eq!(state_of(&other, "i-3"), Some(ServerState::Leaving));
-    let same = directory.update_for(KnownUpTo::Revision(directory.revision()));
+    let same = directory.update_for(SyncPoint::Revision(directory.revision()));
     assert_eq!(same, DirectoryUpdate::Changes(Vec::new()));
 }
 
--- a/crates/core/tests/forwarding_runs.rs
+++ b/crates/core/tests/forwarding_runs.rs
@@ -3,7 +3,7 @@
 use quickcheck::quickcheck;
 use savoryvane_core::{
     forwarding::{
-        Cursor, Directory, DirectoryUpdate, KnownUpTo, Position, ServerEntry, ServerState,
+        Cursor, Directory, DirectoryUpdate, Position, ServerEntry, ServerState, SyncPoint,
     },
     ids::{BackendName, PoolName, ZoneName},
 };
@@ -148,12 +148,12 @@
         let listing = vec![run_of("i-1", Some(1), 1, ServerState::Ready)];
         directory.update_to(DirectoryUpdate::Whole(listing), up_to(37));
     }
-    told.on_known_to(up_to(39));
+    told.advance_cursor(up_to(39));
     let revision = source.revision();
     let leaving = run_of("i-1", Some(1), 39, ServerState::Leaving);
     let record = vec![("i-1".into(), Some(leaving))];
     source.update_to(DirectoryUpdate::Changes(record), up_to(37));
-    for known in [KnownUpTo::Revision(revision), KnownUpTo::Cursor(up_to(39))] {
+    for known in [SyncPoint::Revision(revision), SyncPoint::Cursor(up_to(39))] {
         let mut told = Directory::default();
         let listing = vec![run_of("i-1", Some(1), 1, ServerState::Ready)];
         told.update_to(DirectoryUpdate::Whole(listing), up_to(39));
@@ -163,7 +163,7 @@
     // What it does not know says nothing.
     let newer = run_of("i-2", Some(1), 38, ServerState::Ready);
     assert!(take(&mut told, newer));
-    let whole = source.update_for(KnownUpTo::Cursor(up_to(0)));
+    let whole = source.update_for(SyncPoint::Cursor(up_to(0)));
     told.update_to(whole, source.cursor());
     assert_eq!(state_of(&told, "i-2 1"), Some(ServerState::Ready));
 }
@@ -181,7 +181,7 @@
     let mut started = Directory::default();
     let listing = vec![run_of("i-2", Some(1), 2, ServerState::Ready)];
     started.update_to(DirectoryUpdate::Whole(listing), up_to(362));
-    let update = started.update_for(KnownUpTo::Cursor(known.cursor()));
+    let update = started.update_for(SyncPoint::Cursor(known.cursor()));
     known.update_to(update, started.cursor());
     assert_eq!(
         state_of(&known, "i-1 1"),
@@ -195,7 +195,7 @@
 /// Returns whether one that knows the register up to `position` is told all, and how
 /// many servers it is told.
 fn told(directory: &Directory, position: u64) -> (bool, usize) {
-    match directory.update_for(KnownUpTo::Cursor(up_to(position))) {
+    match directory.update_for(SyncPoint::Cursor(up_to(position))) {
         DirectoryUpdate::Whole(all) => (true, all.len()),
         DirectoryUpdate::Changes(changes) => (false, changes.len()),
     }
@@ -254,15 +254,15 @@
                 false => up_to(position + 1),
             };
             source.update_to(DirectoryUpdate::Changes(vec![record]), known_to);
-            let known = KnownUpTo::Cursor(told.cursor());
+            let known = SyncPoint::Cursor(told.cursor());
             updates.push((source.update_for(known), source.cursor()));
             // Some updates arrive late, after later ones.
             let picked = usize::from(pick) % updates.len();
             let (update, position) = updates[picked].clone();
             told.update_to(update, position);
         }
-        source.on_known_to(up_to(records.len() as u64 + 1));
-        let last = source.update_for(KnownUpTo::Cursor(told.cursor()));
+        source.advance_cursor(up_to(records.len() as u64 + 1));
+        let last = source.update_for(SyncPoint::Cursor(told.cursor()));
         told.update_to(last, source.cursor());
         let of = |directory: &Directory| -> Vec<(BackendName, ServerState)> {
             let entries = directory.entries();
@@ -351,7 +351,7 @@
                     .update_after_outage(Vec::new(), self.cursor, gone_at_ms);
             }
             Step::Lapsed => {
-                self.directory.remove_lapsed(self.now_ms);
+                self.directory.remove_expired(self.now_ms);
             }
             Step::ToldByPeer => {
                 let entry = run(Some(1_000), 0, ServerState::Ready);
@@ -391,7 +391,7 @@
         let revision = own.directory.revision();
         let is_known = own.directory.entry(&BackendName::new("i-1 1000")).is_some();
         own.directory.on_leaving(&BackendName::new("i-1 1000"));
-        let told = own.directory.update_for(KnownUpTo::Revision(revision));
+        let told = own.directory.update_for(SyncPoint::Revision(revision));
         peer.directory.update_to(told, own.directory.cursor());
         let is_told = !is_known || !is_ready(&peer.directory);
         let is_kept = after.iter().map(step).all(|step| {
--- a/crates/server/src/gateway/catch_up.rs
+++ b/crates/server/src/gateway/catch_up.rs
@@ -7,7 +7,7 @@
 };
 
 use savoryvane_core::{
-    forwarding::{DirectoryUpdate, KnownUpTo, ListingBudget, is_relayed_to_peers},
+    forwarding::{DirectoryUpdate, ListingBudget, SyncPoint, is_relayed_to_peers},
     ids::{Incarnation, InstanceName},
     membership::Contact,
 };
@@ -114,9 +114,9 @@
     /// tells whether it takes no server for lapsed, of which the peer may know more.
     fn is_sure_of_servers(&self, theirs: KnownState) -> bool {
         let mut directory = self.knowledge.directory();
-        let is_sure = directory.lapsing_names().is_empty();
+        let is_sure = directory.expiring_names().is_empty();
         if is_sure {
-            directory.on_known_to(theirs.servers);
+            directory.advance_cursor(theirs.servers);
         }
         is_sure
     }
@@ -127,7 +127,7 @@
         let source = source.filter(|(incarnation, _)| Some(*incarnation) == of);
         let (servers, lapsing) = {
             let directory = self.knowledge.directory();
-            (directory.cursor(), directory.lapsing_names())
+            (directory.cursor(), directory.expiring_names())
         };
         RoutingQuery {
             version: self.knowledge.version(),
@@ -172,13 +172,13 @@
     pub(super) fn answer(&self, members: &Members, question: RoutingQuery) -> Option<RoutingState> {
         let known_up_to = question
             .revision
-            .map_or(KnownUpTo::Cursor(question.servers), KnownUpTo::Revision);
+            .map_or(SyncPoint::Cursor(question.servers), SyncPoint::Revision);
         let known = self.known(members);
         let (servers, lapsing) = {
             let directory = self.knowledge.directory();
             let mut servers = directory.update_for(known_up_to);
-            directory.add_to(&mut servers, &question.lapsing);
-            (servers, directory.lapsing(self.clock.now_ms()))
+            directory.include_entries(&mut servers, &question.lapsing);
+            (servers, directory.expiring(self.clock.now_ms()))
         };
         if let DirectoryUpdate::Whole(listing) = &servers {
             let mut telling = lock(&self.telling);
--- a/crates/server/src/gateway/crashes.rs
+++ b/crates/server/src/gateway/crashes.rs
@@ -163,7 +163,7 @@
     async fn probe(&self, server: &ServerEntry) -> (Probe, Probe) {
         let neighbours = || {
             let directory = self.knowledge.directory();
-            let neighbours = directory.neighbours(server, probing::NEIGHBOURS);
+            let neighbours = directory.same_zone_servers(server, probing::NEIGHBOURS);
             neighbours.into_iter().map(|other| other.addr).collect()
         };
         probing::probe(&self.servers, server.addr, neighbours).await
--- a/crates/server/src/gateway/knowledge.rs
+++ b/crates/server/src/gateway/knowledge.rs
@@ -14,7 +14,7 @@
     fleet::Fleet,
     forwarding::{
         AnswerTimes, ColdServers, ColdStart, Cursor, Directory, DirectoryUpdate, EvacuationState,
-        Evacuations, FetchTimes, LapsingServer, LimitChange, LimitReport, NamedLimit, Position,
+        Evacuations, ExpiringServer, FetchTimes, LimitChange, LimitReport, NamedLimit, Position,
         RepeatBudgets, RouteTable, RoutingConfig, ServerEntry, UsualDeadlines,
     },
     ids::{BackendName, PoolName},
@@ -199,7 +199,7 @@
                 for (zone, is_evacuated, position) in records {
                     evacuations.apply(zone, is_evacuated, position);
                 }
-                evacuations.on_known_to(cursor);
+                evacuations.advance_cursor(cursor);
             }
         });
     }
@@ -249,7 +249,7 @@
     /// again after an outage is over.
     pub(super) fn settle(&self) {
         let now_ms = self.clock.now_ms();
-        let lapsed = self.directory().remove_lapsed(now_ms);
+        let lapsed = self.directory().remove_expired(now_ms);
         if !lapsed.is_empty() {
             for server in &lapsed {
                 info!(self.log, "server changed"; "server" => %server, "source" => "lapse",
@@ -281,7 +281,7 @@
                         "state" => state.map_or("gone".to_owned(), |state| format!("{state:?}")));
                 }
             }
-            directory.on_known_to(cursor);
+            directory.advance_cursor(cursor);
         }
         if has_changed {
             self.configure_fleet();
@@ -297,7 +297,7 @@
             let mut directory = self.directory();
             let has_changed =
                 directory.update_after_outage(listing, cursor, now_ms + WRITTEN_AGAIN_WITHIN_MS);
-            (has_changed, directory.lapsing(now_ms).len())
+            (has_changed, directory.expiring(now_ms).len())
         };
         info!(self.log, "servers after an outage"; "servers" => count, "lapsing" => lapsing,
             "position" => %cursor);
@@ -307,9 +307,9 @@
     }
 
     /// Takes over from a peer which servers have lapsed.
-    pub(super) fn on_lapsing_told(&self, lapsing: &[LapsingServer]) {
+    pub(super) fn on_lapsing_told(&self, lapsing: &[ExpiringServer]) {
         let now_ms = self.clock.now_ms();
-        self.directory().on_lapsing(now_ms, lapsing);
+        self.directory().on_expiring(now_ms, lapsing);
     }
 
     /// Takes over the register of servers from the store or a peer that knows it up
@@ -327,7 +327,7 @@
         let now_ms = self.clock.now_ms();
         let mut directory = self.directory();
         let known = directory.cursor();
-        let is_of_copy = cursor.is_of_copy_to(known);
+        let is_of_copy = cursor.is_less_complete_copy_than(known);
         let has_changed = match update {
             DirectoryUpdate::Whole(listing) if is_of_copy => {
                 // Who has only read the copy says no more than that does.
--- a/crates/wire/src/peer/routing.rs
+++ b/crates/wire/src/peer/routing.rs
@@ -5,7 +5,7 @@
 
 use savoryvane_core::{
     forwarding::{
-        Cursor, DirectoryUpdate, EvacuationState, LapsingServer, Position, RoutingConfig,
+        Cursor, DirectoryUpdate, EvacuationState, ExpiringServer, Position, RoutingConfig,
     },
     ids::{BackendName, Incarnation, InstanceName, ZoneName},
 };
@@ -93,7 +93,7 @@
     /// The servers, as far as the asker does not know them.
     pub servers: DirectoryUpdate,
     /// Servers that the register lacked after an outage of the store.
-    pub lapsing: Vec<LapsingServer>,
+    pub lapsing: Vec<ExpiringServer>,
     /// The instances that are listed, as far as the asker does not know them.
     pub instances: Vec<ListedPeer>,
     /// Which availability zones are evacuated.
--- a/crates/wire/tests/peer.rs
+++ b/crates/wire/tests/peer.rs
@@ -4,7 +4,7 @@
 use savoryvane_core::ids::{Incarnation, Offset, RegionName, ZoneName};
 use savoryvane_core::{
     forwarding::{
-        Cursor, DirectoryUpdate, EvacuationState, GrantPurpose, LapsingServer, LimitReport,
+        Cursor, DirectoryUpdate, EvacuationState, ExpiringServer, GrantPurpose, LimitReport,
         RoutingConfig, ZoneOrder,
     },
     poison::{Evidence, Permit, RequestDigest},
@@ -174,7 +174,7 @@
                 cores: 0.25,
                 position: cursor(12).position(),
             }],
-            lapsing: vec![LapsingServer {
+            lapsing: vec![ExpiringServer {
                 registered_as: "i-2".into(),
                 position: cursor(3).position(),
                 left_ms: 1_500,
