--- a/crates/core/src/forwarding.rs
+++ b/crates/core/src/forwarding.rs
@@ -44,7 +44,7 @@
 pub use position::{Cursor, Position};
 pub use returning::UsualDeadlines;
 pub use signals::{BackoffRequest, Departure, ServerSignals};
-pub use steps::{AttemptEnd, Giving, NextStep, Repeats, next_step};
+pub use steps::{AttemptEnd, FinalResponse, NextStep, RepeatPolicy, next_step};
 pub use store_reads::{
     ListingBudget, PropagationBounds, StoreRetry, StoreRole, is_relayed_to_peers, reserves,
 };
--- a/crates/core/src/forwarding/steps.rs
+++ b/crates/core/src/forwarding/steps.rs
@@ -21,7 +21,7 @@
 
 /// Whether a request may be sent again after it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeats {
+pub enum RepeatPolicy {
     /// It may.
     Allowed,
     /// It may not.
@@ -30,11 +30,11 @@
 
 /// What the caller is told when nothing more is tried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Giving {
+pub enum FinalResponse {
     /// That it was not run and when to come back.
     Refusal,
     /// The failure that the server answered with.
-    ServersFailure,
+    ServerFailure,
     /// That it has no answer, and nothing about whether it ran.
     NoAnswer,
 }
@@ -54,7 +54,7 @@
     /// It is sent to another server.
     SendAgain,
     /// The caller gets an answer.
-    Give(Giving),
+    Give(FinalResponse),
 }
 
 /// Decides what follows the end of a send.
@@ -65,7 +65,7 @@
 /// `spend` takes one repeat out of the budget and tells whether there was one.
 pub fn next_step(
     end: AttemptEnd,
-    repeats: Repeats,
+    repeats: RepeatPolicy,
     may_have_run: bool,
     has_room: bool,
     spend: impl FnOnce() -> bool,
@@ -74,14 +74,14 @@
         end,
         AttemptEnd::NotSent | AttemptEnd::Misdirected | AttemptEnd::InputsGone | AttemptEnd::NotRun
     );
-    let is_allowed = repeats == Repeats::Allowed || (is_harmless && !may_have_run);
+    let is_allowed = repeats == RepeatPolicy::Allowed || (is_harmless && !may_have_run);
     let is_paid = matches!(end, AttemptEnd::NotSent | AttemptEnd::Silent);
     if is_allowed && has_room && (is_paid || spend()) {
         return NextStep::SendAgain;
     }
     NextStep::Give(match end {
-        AttemptEnd::Failed => Giving::ServersFailure,
-        _ if is_harmless && !may_have_run => Giving::Refusal,
-        _ => Giving::NoAnswer,
+        AttemptEnd::Failed => FinalResponse::ServerFailure,
+        _ if is_harmless && !may_have_run => FinalResponse::Refusal,
+        _ => FinalResponse::NoAnswer,
     })
 }
--- a/crates/core/tests/forwarding_rules.rs
+++ b/crates/core/tests/forwarding_rules.rs
@@ -4,9 +4,10 @@
 
 use savoryvane_core::{
     forwarding::{
-        AttemptEnd, BudgetSettings, Cursor, Directory, DirectoryUpdate, Giving, NextStep, Position,
-        RepeatBudgets, Repeats, Route, RouteKind, RouteTable, RoutingConfig, ServerEntry,
-        ServerState, SyncPoint, Target, Unroutable, UsualDeadlines, WorkspaceKeys, next_step,
+        AttemptEnd, BudgetSettings, Cursor, Directory, DirectoryUpdate, FinalResponse, NextStep,
+        Position, RepeatBudgets, RepeatPolicy, Route, RouteKind, RouteTable, RoutingConfig,
+        ServerEntry, ServerState, SyncPoint, Target, Unroutable, UsualDeadlines, WorkspaceKeys,
+        next_step,
     },
     ids::{BackendName, PoolName, WorkspaceName, ZoneName},
 };
@@ -93,7 +94,7 @@
         AttemptEnd::Silent,
     ];
     for end in ends {
-        for repeats in [Repeats::Allowed, Repeats::Never] {
+        for repeats in [RepeatPolicy::Allowed, RepeatPolicy::Never] {
             for had_run in [false, true] {
                 for has_room in [false, true] {
                     for budget in [false, true] {
@@ -104,11 +105,11 @@
                         let may_have_run = had_run || ran;
                         let step = next_step(end, repeats, may_have_run, has_room, || budget);
                         let case = (end, repeats, may_have_run, has_room, budget, step);
-                        if may_have_run && repeats == Repeats::Never {
+                        if may_have_run && repeats == RepeatPolicy::Never {
                             assert_ne!(step, NextStep::SendAgain, "{case:?}");
                         }
                         if may_have_run {
-                            assert_ne!(step, NextStep::Give(Giving::Refusal), "{case:?}");
+                            assert_ne!(step, NextStep::Give(FinalResponse::Refusal), "{case:?}");
                         }
                         if !has_room {
                             assert_ne!(step, NextStep::SendAgain, "{case:?}");
@@ -131,7 +132,7 @@
         asked.set(asked.get() + 1);
         true
     };
-    let step = next_step(AttemptEnd::NotSent, Repeats::Never, false, true, spend);
+    let step = next_step(AttemptEnd::NotSent, RepeatPolicy::Never, false, true, spend);
     assert_eq!((step, asked.get()), (NextStep::SendAgain, 0));
     assert!(!AttemptEnd::NotSent.counts() && !AttemptEnd::Misdirected.counts());
     assert!(AttemptEnd::NotRun.counts() && AttemptEnd::Lost.counts());
--- a/crates/server/src/gateway/attempt.rs
+++ b/crates/server/src/gateway/attempt.rs
@@ -7,7 +7,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use savoryvane_core::{
-    forwarding::{AttemptEnd, Repeats, Route, ServerEntry},
+    forwarding::{AttemptEnd, RepeatPolicy, Route, ServerEntry},
     ids::{BackendName, ZoneName},
 };
 use savoryvane_platform::answer::{self, AnswerHead};
@@ -135,8 +135,8 @@
             has_ended: false,
         };
         let reuse = match caller.repeats() {
-            Repeats::Allowed => Reuse::Any,
-            Repeats::Never => Reuse::Within(FRESH_CONNECTION),
+            RepeatPolicy::Allowed => Reuse::Any,
+            RepeatPolicy::Never => Reuse::Within(FRESH_CONNECTION),
         };
         let addr = in_flight.server.addr;
         let request = caller.to_server(server, &inputs.handles, last_event);
--- a/crates/server/src/gateway/forward.rs
+++ b/crates/server/src/gateway/forward.rs
@@ -5,7 +5,7 @@
 use http::{Request, Response, StatusCode, uri::PathAndQuery};
 use hyper::body::Incoming;
 use savoryvane_core::{
-    forwarding::{Chosen, Placement, Repeats, Route},
+    forwarding::{Chosen, Placement, RepeatPolicy, Route},
     ids::{BackendName, RequestId, ZoneName},
     poison::DigestBuilder,
     stages::{Refusal, StageOutcome, StageWork, Submission},
@@ -316,7 +316,7 @@
     Placement {
         service: &caller.service,
         tried,
-        is_repeatable: caller.repeats() == Repeats::Allowed,
+        is_repeatable: caller.repeats() == RepeatPolicy::Allowed,
         prompt: caller.prompt(),
         inputs: &inputs.by_zone,
         apart: permit.and_then(HeldPermit::place),
--- a/crates/server/src/gateway/request.rs
+++ b/crates/server/src/gateway/request.rs
@@ -6,7 +6,7 @@
 use http::{HeaderMap, Method, Request, Uri, header, uri::PathAndQuery};
 use http_body_util::Full;
 use savoryvane_core::{
-    forwarding::{Matched, Prompt, Repeats, Route, RouteKind},
+    forwarding::{Matched, Prompt, RepeatPolicy, Route, RouteKind},
     ids::{BackendName, PoolName, RequestId},
     poison::RequestDigest,
 };
@@ -39,11 +39,11 @@
     }
 
     /// Tells whether it may be sent again after it may have run.
-    pub(super) fn repeats(&self) -> Repeats {
+    pub(super) fn repeats(&self) -> RepeatPolicy {
         if self.route().is_repeatable() {
-            Repeats::Allowed
+            RepeatPolicy::Allowed
         } else {
-            Repeats::Never
+            RepeatPolicy::Never
         }
     }
 
--- a/crates/server/src/gateway/sending.rs
+++ b/crates/server/src/gateway/sending.rs
@@ -4,7 +4,7 @@
 
 use http::Response;
 use savoryvane_core::{
-    forwarding::{AttemptEnd, Giving, NextStep, Repeats, answer_timeout_ms, next_step},
+    forwarding::{AttemptEnd, FinalResponse, NextStep, RepeatPolicy, answer_timeout_ms, next_step},
     ids::{BackendName, PoolName},
 };
 use slog::info;
@@ -55,7 +55,7 @@
                 self.time_to_wait(&caller, self.answer_time(&caller))?;
             }
             tried.push(server.clone());
-            let may_move_on = caller.repeats() == Repeats::Allowed
+            let may_move_on = caller.repeats() == RepeatPolicy::Allowed
                 && sends + 1 < caller.route().max_servers
                 && tried.len() < MOST_UNREACHED;
             let held = inputs.held.take();
@@ -117,10 +117,10 @@
                     }
                 }
                 (NextStep::SendAgain, _) => {}
-                (NextStep::Give(Giving::Refusal), _) => {
+                (NextStep::Give(FinalResponse::Refusal), _) => {
                     return Err(self.why_no_server(&caller).await);
                 }
-                (NextStep::Give(Giving::ServersFailure), Some(response)) => {
+                (NextStep::Give(FinalResponse::ServerFailure), Some(response)) => {
                     self.log_answered(&caller, &server, response.status(), sends);
                     return Ok(response.map(http_body::full));
                 }
