--- a/crates/core/src/forwarding.rs
+++ b/crates/core/src/forwarding.rs
@@ -3,19 +3,19 @@
 
 mod backoff;
 mod budget;
-mod cold;
+mod cold_servers;
+mod deadlines;
 mod directory;
 mod entry;
 mod evacuation;
-mod fetching;
+mod fetch_times;
 mod grants;
-mod leaving;
 mod limits;
 mod objects;
 mod placement;
 mod position;
-mod removed;
-mod returning;
+mod removed_servers;
+mod response_times;
 mod signals;
 mod steps;
 mod store_reads;
@@ -25,16 +25,16 @@
 pub(crate) use backoff::return_after_ms;
 pub use backoff::{MAX_BACKOFF_MS, ServerBackoffs};
 pub use budget::{BudgetSettings, RepeatBudgets};
-pub use cold::{ARRIVAL_MS, ColdServers, WINDOW_MS};
+pub use cold_servers::{ARRIVAL_MS, ColdServers, WINDOW_MS};
+pub use deadlines::RouteDeadlines;
 pub use directory::Directory;
 pub use entry::{DirectoryUpdate, ExpiringServer, ServerEntry, ServerState, SyncPoint};
 pub use evacuation::{
     EvacuationState, Evacuations, LISTED_FOR_MS, MAX_ZONES, MISSING_FOR_MS, ZoneOrder,
 };
-pub use fetching::FetchTimes;
+pub use fetch_times::FetchTimes;
 pub(crate) use grants::MIN_LIMIT_PER_S;
 pub use grants::{GrantPurpose, GrantQuery, GrantState, LimitGrants};
-pub use leaving::AnswerTimes;
 pub use limits::{LimitChange, LimitReport, NamedLimit, ServerLimits};
 pub use objects::{
     Batching, CallerLimits, ColdStart, Engine, Route, RouteKind, RouteStage, RoutingConfig,
@@ -42,11 +42,11 @@
 };
 pub use placement::{Chosen, MAX_GRANT_CANDIDATES, Placement, Prompt, PromptPart};
 pub use position::{Cursor, Position};
-pub use returning::UsualDeadlines;
+pub use response_times::ResponseTimes;
 pub use signals::{BackoffRequest, Departure, ServerSignals};
 pub use steps::{AttemptEnd, FinalResponse, NextStep, RepeatPolicy, next_step};
 pub use store_reads::{
     ListingBudget, PropagationBounds, StoreRetry, StoreRole, is_relayed_to_peers, reserves,
 };
 pub use table::{Matched, RouteTable, Unroutable};
-pub use timeouts::{answer_timeout_ms, event_timeout_ms};
+pub use timeouts::{event_timeout_ms, response_timeout_ms};
--- a/crates/core/src/forwarding/returning.rs
+++ b/crates/core/src/forwarding/deadlines.rs
@@ -21,14 +21,14 @@
 
 /// The time that callers of each route usually give.
 #[derive(Debug, Default)]
-pub struct UsualDeadlines {
+pub struct RouteDeadlines {
     routes: HashMap<String, Longest>,
 }
 
-impl UsualDeadlines {
+impl RouteDeadlines {
     /// Takes in the deadline of a request and returns how much longer callers of
     /// its route usually give, in ms.
-    pub fn missing_ms(&mut self, now_ms: u64, route: &str, deadline_ms: u64) -> u64 {
+    pub fn shortfall_ms(&mut self, now_ms: u64, route: &str, deadline_ms: u64) -> u64 {
         if !self.routes.contains_key(route) && self.routes.len() >= MOST_ROUTES {
             return 0;
         }
--- a/crates/core/src/forwarding/directory.rs
+++ b/crates/core/src/forwarding/directory.rs
@@ -5,7 +5,7 @@
 use super::{
     Cursor, Position, RoutingConfig, Service,
     entry::{DirectoryUpdate, ExpiringServer, ServerEntry, ServerState, SyncPoint},
-    removed::RemovedServers,
+    removed_servers::RemovedServers,
 };
 use crate::{
     ids::{BackendName, PoolName, ZoneName},
--- a/crates/core/src/forwarding/fetching.rs
+++ b/crates/core/src/forwarding/fetch_times.rs
@@ -35,7 +35,7 @@
 impl FetchTimes {
     /// Returns the time after a send within which engines of `service` have
     /// fetched what they need, in ms.
-    pub fn within_ms(&self, service: &PoolName) -> u64 {
+    pub fn release_after_ms(&self, service: &PoolName) -> u64 {
         let time_ms = self.by_service.get(service).copied();
         time_ms.unwrap_or(SHORTEST_MS) as u64
     }
--- a/crates/core/src/forwarding/leaving.rs
+++ b/crates/core/src/forwarding/response_times.rs
@@ -18,11 +18,11 @@
 
 /// How long answers take from their send to their end, by route.
 #[derive(Debug, Default)]
-pub struct AnswerTimes {
+pub struct ResponseTimes {
     routes: HashMap<String, Quantiles>,
 }
 
-impl AnswerTimes {
+impl ResponseTimes {
     /// Takes in the time that an answer of `route` took, in ms.
     pub fn record(&mut self, route: &str, elapsed_ms: u64) {
         if !self.routes.contains_key(route) && self.routes.len() >= MOST_ROUTES {
@@ -34,7 +34,7 @@
 
     /// Returns the time within which answers of `route` usually end, in ms; 0
     /// where none has been seen.
-    pub fn usual_ms(&self, route: &str) -> u64 {
+    pub fn typical_ms(&self, route: &str) -> u64 {
         let times = self.routes.get(route);
         let usual_us = times.and_then(|times| times.quantile_us(USUAL_PERCENT));
         usual_us.unwrap_or(0) / 1_000
--- a/crates/core/src/forwarding/timeouts.rs
+++ b/crates/core/src/forwarding/timeouts.rs
@@ -16,7 +16,7 @@
 
 /// Returns how long a server may take to begin its answer before the request is
 /// sent to another one, in ms: as long as the whole answer was to take.
-pub fn answer_timeout_ms(goal_ms: u64) -> u64 {
+pub fn response_timeout_ms(goal_ms: u64) -> u64 {
     goal_ms.clamp(SHORTEST_MS, LONGEST_MS)
 }
 
--- a/crates/core/tests/forwarding_fetching.rs
+++ b/crates/core/tests/forwarding_fetch_times.rs
@@ -6,28 +6,28 @@
 fn results_are_kept_longer_where_an_engine_missed_them() {
     let (slow, other) = (PoolName::new("slow"), PoolName::new("other"));
     let mut times = FetchTimes::default();
-    let first_ms = times.within_ms(&slow);
+    let first_ms = times.release_after_ms(&slow);
     assert!((20..=100).contains(&first_ms), "{first_ms}");
     for _ in 0..3 {
         times.on_missed(&slow);
     }
-    assert!(times.within_ms(&slow) >= 4 * first_ms);
-    assert_eq!(times.within_ms(&other), first_ms);
+    assert!(times.release_after_ms(&slow) >= 4 * first_ms);
+    assert_eq!(times.release_after_ms(&other), first_ms);
 }
 
 #[test]
 fn the_time_is_bounded_and_goes_back() {
     let service = PoolName::new("engines");
     let mut times = FetchTimes::default();
-    let first_ms = times.within_ms(&service);
+    let first_ms = times.release_after_ms(&service);
     for _ in 0..100 {
         times.on_missed(&service);
     }
-    assert_eq!(times.within_ms(&service), 2_000);
+    assert_eq!(times.release_after_ms(&service), 2_000);
     for _ in 0..2_000 {
         times.on_fetched(&service);
     }
-    assert_eq!(times.within_ms(&service), first_ms);
+    assert_eq!(times.release_after_ms(&service), first_ms);
 }
 
 /// An engine that takes 300 ms to fetch misses few: the time settles where one
@@ -38,7 +38,7 @@
     let mut times = FetchTimes::default();
     let mut missed = 0;
     for _ in 0..1_000 {
-        if times.within_ms(&service) < 300 {
+        if times.release_after_ms(&service) < 300 {
             times.on_missed(&service);
             missed += 1;
         } else {
--- a/crates/core/tests/forwarding_rules.rs
+++ b/crates/core/tests/forwarding_rules.rs
@@ -5,8 +5,8 @@
 use savoryvane_core::{
     forwarding::{
         AttemptEnd, BudgetSettings, Cursor, Directory, DirectoryUpdate, FinalResponse, NextStep,
-        Position, RepeatBudgets, RepeatPolicy, Route, RouteKind, RouteTable, RoutingConfig,
-        ServerEntry, ServerState, SyncPoint, Target, Unroutable, UsualDeadlines, WorkspaceKeys,
+        Position, RepeatBudgets, RepeatPolicy, Route, RouteDeadlines, RouteKind, RouteTable,
+        RoutingConfig, ServerEntry, ServerState, SyncPoint, Target, Unroutable, WorkspaceKeys,
         next_step,
     },
     ids::{BackendName, PoolName, WorkspaceName, ZoneName},
@@ -328,17 +328,17 @@
 
 #[test]
 fn one_with_less_time_than_is_usual_has_waited() {
-    let mut deadlines = UsualDeadlines::default();
-    assert_eq!(deadlines.missing_ms(0, "r", 6_000), 0);
-    assert_eq!(deadlines.missing_ms(100, "r", 4_200), 1_800);
-    assert_eq!(deadlines.missing_ms(100, "other", 4_200), 0);
+    let mut deadlines = RouteDeadlines::default();
+    assert_eq!(deadlines.shortfall_ms(0, "r", 6_000), 0);
+    assert_eq!(deadlines.shortfall_ms(100, "r", 4_200), 1_800);
+    assert_eq!(deadlines.shortfall_ms(100, "other", 4_200), 0);
     assert_eq!(
-        deadlines.missing_ms(11_000, "r", 4_200),
+        deadlines.shortfall_ms(11_000, "r", 4_200),
         1_800,
         "the window before counts"
     );
     assert_eq!(
-        deadlines.missing_ms(40_000, "r", 4_200),
+        deadlines.shortfall_ms(40_000, "r", 4_200),
         0,
         "callers give less now"
     );
--- a/crates/server/src/gateway/forward.rs
+++ b/crates/server/src/gateway/forward.rs
@@ -226,7 +226,10 @@
 
     /// Returns how long an answer to a request usually takes once it is sent.
     pub(super) fn answer_time(&self, caller: &CallerRequest) -> Duration {
-        let usual_ms = self.knowledge.answer_times().usual_ms(&caller.route().name);
+        let usual_ms = self
+            .knowledge
+            .answer_times()
+            .typical_ms(&caller.route().name);
         Duration::from_millis(usual_ms)
     }
 
--- a/crates/server/src/gateway/knowledge.rs
+++ b/crates/server/src/gateway/knowledge.rs
@@ -13,9 +13,9 @@
 use savoryvane_core::{
     fleet::Fleet,
     forwarding::{
-        AnswerTimes, ColdServers, ColdStart, Cursor, Directory, DirectoryUpdate, EvacuationState,
-        Evacuations, ExpiringServer, FetchTimes, LimitChange, LimitReport, NamedLimit, Position,
-        RepeatBudgets, RouteTable, RoutingConfig, ServerEntry, UsualDeadlines,
+        ColdServers, ColdStart, Cursor, Directory, DirectoryUpdate, EvacuationState, Evacuations,
+        ExpiringServer, FetchTimes, LimitChange, LimitReport, NamedLimit, Position, RepeatBudgets,
+        ResponseTimes, RouteDeadlines, RouteTable, RoutingConfig, ServerEntry,
     },
     ids::{BackendName, PoolName},
     settings::PolicySettings,
@@ -51,8 +51,8 @@
     evacuations: Mutex<Evacuations>,
     fleet: Mutex<Fleet>,
     budgets: Mutex<RepeatBudgets>,
-    deadlines: Mutex<UsualDeadlines>,
-    answer_times: Mutex<AnswerTimes>,
+    deadlines: Mutex<RouteDeadlines>,
+    answer_times: Mutex<ResponseTimes>,
     fetch_times: Mutex<FetchTimes>,
     /// Headers of servers' answers that were noted as unknown.
     pub(super) unknown_headers: Mutex<HashSet<HeaderName>>,
@@ -150,11 +150,11 @@
     /// its route usually give, in ms.
     pub(super) fn missing_ms(&self, now_ms: u64, route: &str, deadline_ms: u64) -> u64 {
         let mut deadlines = lock(&self.deadlines);
-        deadlines.missing_ms(now_ms, route, deadline_ms)
+        deadlines.shortfall_ms(now_ms, route, deadline_ms)
     }
 
     /// Locks how long answers take, for a few steps without waiting.
-    pub(super) fn answer_times(&self) -> MutexGuard<'_, AnswerTimes> {
+    pub(super) fn answer_times(&self) -> MutexGuard<'_, ResponseTimes> {
         lock(&self.answer_times)
     }
 
--- a/crates/server/src/gateway/sending.rs
+++ b/crates/server/src/gateway/sending.rs
@@ -4,7 +4,9 @@
 
 use http::Response;
 use savoryvane_core::{
-    forwarding::{AttemptEnd, FinalResponse, NextStep, RepeatPolicy, answer_timeout_ms, next_step},
+    forwarding::{
+        AttemptEnd, FinalResponse, NextStep, RepeatPolicy, next_step, response_timeout_ms,
+    },
     ids::{BackendName, PoolName},
 };
 use slog::info;
@@ -137,7 +139,7 @@
         mut held: Option<Held>,
         sending: impl Future<Output = Option<Sent>>,
     ) -> (Option<Sent>, Option<Held>) {
-        let within_ms = self.knowledge.fetch_times().within_ms(service);
+        let within_ms = self.knowledge.fetch_times().release_after_ms(service);
         let fetched = time::sleep(Duration::from_millis(within_ms));
         tokio::pin!(fetched, sending);
         loop {
@@ -175,7 +177,7 @@
         server: &BackendName,
         may_move_on: bool,
     ) -> Option<Sent> {
-        let silence = Duration::from_millis(answer_timeout_ms(caller.route().goal_ms));
+        let silence = Duration::from_millis(response_timeout_ms(caller.route().goal_ms));
         let mut sent = Box::pin(self.send_once(caller, inputs, server, None));
         if may_move_on {
             let until = (Instant::now() + silence).min(caller.deadline);
