--- a/crates/core/src/forwarding.rs
+++ b/crates/core/src/forwarding.rs
@@ -40,7 +40,7 @@
     Batching, CallerLimits, ColdStart, Engine, Route, RouteKind, RouteStage, RoutingConfig,
     Service, Target, WorkspaceKeys,
 };
-pub use placement::{Chosen, MAX_GRANT_CANDIDATES, Placement, Prompt, PromptPart};
+pub use placement::{MAX_GRANT_CANDIDATES, Placement, Prompt, PromptPart, ServerChoice};
 pub use position::{Cursor, Position};
 pub use response_times::ResponseTimes;
 pub use signals::{BackoffRequest, Departure, ServerSignals};
--- a/crates/core/src/forwarding/placement.rs
+++ b/crates/core/src/forwarding/placement.rs
@@ -82,7 +82,7 @@
     pub inputs: &'a [(ZoneName, u64)],
     /// Where servers have ended under it, its place among all such that run: it goes to
     /// the server of this place by load, so that few others are lost with it.
-    pub apart: Option<u32>,
+    pub isolation_index: Option<u32>,
 }
 
 impl<'a> Placement<'a> {
@@ -100,7 +100,7 @@
 
 /// A server and why it was chosen.
 #[derive(Clone, Debug)]
-pub struct Chosen {
+pub struct ServerChoice {
     /// The server, unless there is none.
     pub server: Option<BackendName>,
     /// Why.
@@ -111,10 +111,10 @@
 
 impl Fleet {
     /// Chooses the server of a forwarded request.
-    pub fn choose(&mut self, now_ms: u64, placement: &Placement<'_>) -> Chosen {
+    pub fn choose(&mut self, now_ms: u64, placement: &Placement<'_>) -> ServerChoice {
         let query = placement.query();
-        if let Some(place) = placement.apart {
-            return self.choose_apart(now_ms, &query, place);
+        if let Some(place) = placement.isolation_index {
+            return self.choose_isolated(now_ms, &query, place);
         }
         match placement.prompt {
             Some(prompt) if prompt.session().is_some() => {
@@ -125,13 +125,13 @@
     }
 
     /// Chooses the server of the given place in the order of their load.
-    fn choose_apart(&mut self, now_ms: u64, query: &RouteQuery<'_>, place: u32) -> Chosen {
+    fn choose_isolated(&mut self, now_ms: u64, query: &RouteQuery<'_>, place: u32) -> ServerChoice {
         let mut eligible = self.eligible(now_ms, query);
         let load = |index: &usize| self.load(now_ms, &self.backends[*index]);
         eligible.sort_by(|a, b| load(a).total_cmp(&load(b)));
         let at = place as usize % eligible.len().max(1);
         let server = eligible.get(at).map(|index| &self.backends[*index].name);
-        Chosen {
+        ServerChoice {
             server: server.cloned(),
             reason: match server {
                 None => DecisionReason::NoBackend,
@@ -150,7 +150,7 @@
         query: &RouteQuery<'_>,
         prompt: &Prompt,
         inputs: &[(ZoneName, u64)],
-    ) -> Chosen {
+    ) -> ServerChoice {
         let eligible = self.eligible(now_ms, query);
         let session = prompt.session().unwrap_or_default();
         let home = eligible
@@ -176,7 +176,7 @@
             .iter()
             .copied()
             .min_by(|a, b| score_us(*a).total_cmp(&score_us(*b)));
-        Chosen {
+        ServerChoice {
             server: best.map(|index| self.backends[index].name.clone()),
             reason: match best {
                 None => DecisionReason::NoBackend,
@@ -189,13 +189,13 @@
 
     /// Returns the servers to request a grant for instead of `chosen`, which names a limit, and
     /// their limits in requests a second: only that one while others need none, unless
-    /// `is_any_wanted`.
+    /// `include_all`.
     pub fn grant_candidates(
         &self,
         now_ms: u64,
         placement: &Placement<'_>,
         chosen: &BackendName,
-        is_any_wanted: bool,
+        include_all: bool,
     ) -> Vec<(BackendName, f64)> {
         let eligible = self.eligible(now_ms, &placement.query()).into_iter();
         let names = eligible.map(|index| &self.backends[index].name);
@@ -203,7 +203,7 @@
         let limits = untried.map(|name| (name, self.limits.limit_per_s(name)));
         let limits: Vec<(&BackendName, Option<f64>)> = limits.collect();
         let needs_none = limits.iter().any(|(_, limit)| limit.is_none());
-        let is_wanted = |name: &BackendName| name == chosen || is_any_wanted || !needs_none;
+        let is_wanted = |name: &BackendName| name == chosen || include_all || !needs_none;
         let limited = limits.into_iter().filter(|(name, _)| is_wanted(name));
         let limited = limited.filter_map(|(name, limit)| Some((name.clone(), limit?)));
         let mut limited: Vec<(BackendName, f64)> = limited.collect();
@@ -214,7 +214,11 @@
 
     /// Returns the servers of `service` that take work and their limits in requests a
     /// second, if all of them name one.
-    pub fn limits_of_all(&self, now_ms: u64, service: &PoolName) -> Vec<(BackendName, f64)> {
+    pub fn limits_if_all_limited(
+        &self,
+        now_ms: u64,
+        service: &PoolName,
+    ) -> Vec<(BackendName, f64)> {
         let mut limits = self.all_limited(now_ms, &any_request(service));
         limits.truncate(MAX_GRANT_CANDIDATES);
         limits
@@ -272,7 +276,7 @@
 
     /// Notes that `server` was given up as it stayed silent; its request has been
     /// noted as abandoned.
-    pub fn on_given_up(&mut self, now_ms: u64, server: &BackendName) {
+    pub fn on_silence_timeout(&mut self, now_ms: u64, server: &BackendName) {
         self.on_bad_answer(now_ms, server, Fault::Silent);
     }
 
@@ -287,8 +291,8 @@
     }
 }
 
-fn chosen(routed: Routed) -> Chosen {
-    Chosen {
+fn chosen(routed: Routed) -> ServerChoice {
+    ServerChoice {
         server: routed.choice,
         reason: routed.reason,
         considered: routed.candidates.len(),
--- a/crates/core/tests/forwarding_backoff.rs
+++ b/crates/core/tests/forwarding_backoff.rs
@@ -41,7 +41,12 @@
 }
 
 /// Chooses the server of a request of the session `session`.
-fn choose(fleet: &mut Fleet, now_ms: u64, session: u64, apart: Option<u32>) -> Option<BackendName> {
+fn choose(
+    fleet: &mut Fleet,
+    now_ms: u64,
+    session: u64,
+    isolation_index: Option<u32>,
+) -> Option<BackendName> {
     let prompt = Prompt {
         input_tokens: 2_000,
         max_output_tokens: 50,
--- a/crates/core/tests/forwarding_reach.rs
+++ b/crates/core/tests/forwarding_reach.rs
@@ -78,7 +78,7 @@
         loop {
             let service = PoolName::new("engines");
             let placement = Placement {
-                apart: None,
+                isolation_index: None,
                 service: &service,
                 tried: &tried,
                 is_repeatable: false,
--- a/crates/server/src/gateway/forward.rs
+++ b/crates/server/src/gateway/forward.rs
@@ -5,7 +5,7 @@
 use http::{Request, Response, StatusCode, uri::PathAndQuery};
 use hyper::body::Incoming;
 use savoryvane_core::{
-    forwarding::{Chosen, Placement, RepeatPolicy, Route},
+    forwarding::{Placement, RepeatPolicy, Route, ServerChoice},
     ids::{BackendName, RequestId, ZoneName},
     poison::DigestBuilder,
     stages::{Refusal, StageOutcome, StageWork, Submission},
@@ -275,7 +275,7 @@
         inputs: &Inputs,
         tried: &[BackendName],
         permit: Option<&HeldPermit>,
-    ) -> (Option<BackendName>, Chosen) {
+    ) -> (Option<BackendName>, ServerChoice) {
         let placement = placement(caller, inputs, tried, permit);
         let now_ms = self.clock.now_ms();
         let chosen = self.knowledge.fleet().choose(now_ms, &placement);
@@ -322,7 +322,7 @@
         is_repeatable: caller.repeats() == RepeatPolicy::Allowed,
         prompt: caller.prompt(),
         inputs: &inputs.by_zone,
-        apart: permit.and_then(HeldPermit::place),
+        isolation_index: permit.and_then(HeldPermit::place),
     }
 }
 
--- a/crates/server/src/gateway/granting.rs
+++ b/crates/server/src/gateway/granting.rs
@@ -25,7 +25,7 @@
         let now_ms = self.clock.now_ms();
         let servers = {
             let fleet = self.knowledge.fleet();
-            fleet.limits_of_all(now_ms, &caller.service)
+            fleet.limits_if_all_limited(now_ms, &caller.service)
         };
         if servers.is_empty() {
             return Ok(());
@@ -80,14 +80,14 @@
         &self,
         placement: &Placement<'_>,
         chosen: &BackendName,
-        is_any_wanted: bool,
+        include_all: bool,
     ) -> Vec<(BackendName, f64)> {
         let now_ms = self.clock.now_ms();
         let mut fleet = self.knowledge.fleet();
         if fleet.limits().limit_per_s(chosen).is_none() {
             return Vec::new();
         }
-        fleet.grant_candidates(now_ms, placement, chosen, is_any_wanted)
+        fleet.grant_candidates(now_ms, placement, chosen, include_all)
     }
 
     /// Tells why no server takes a request, and when one will: after a backoff, or, where all
@@ -96,7 +96,7 @@
         let now_ms = self.clock.now_ms();
         let (servers, return_after_ms) = {
             let mut fleet = self.knowledge.fleet();
-            let servers = fleet.limits_of_all(now_ms, &caller.service);
+            let servers = fleet.limits_if_all_limited(now_ms, &caller.service);
             (
                 servers,
                 fleet.return_after_backoff_ms(now_ms, &caller.service),
--- a/crates/server/src/gateway/sending.rs
+++ b/crates/server/src/gateway/sending.rs
@@ -210,7 +210,7 @@
     /// Notes that a server was given up as it stayed silent.
     pub(super) fn give_up(&self, caller: &CallerRequest, server: &BackendName, waited: Duration) {
         let now_ms = self.clock.now_ms();
-        self.knowledge.fleet().on_given_up(now_ms, server);
+        self.knowledge.fleet().on_silence_timeout(now_ms, server);
         let entry = self.knowledge.directory().entry(server).cloned();
         if let Some(entry) = entry {
             // Others that are kept may be as silent.
