--- a/crates/core/src/forwarding.rs
+++ b/crates/core/src/forwarding.rs
@@ -30,7 +30,7 @@
 pub use directory::Directory;
 pub use entry::{DirectoryUpdate, ExpiringServer, ServerEntry, ServerState, SyncPoint};
 pub use evacuation::{
-    EvacuationState, Evacuations, LISTED_FOR_MS, MAX_ZONES, MISSING_FOR_MS, ZoneOrder,
+    EvacuationState, Evacuations, MAX_ZONES, MISSING_GRACE_MS, REINSTATE_DELAY_MS, ZoneOrder,
 };
 pub use fetch_times::FetchTimes;
 pub(crate) use grants::MIN_LIMIT_PER_S;
--- a/crates/core/src/forwarding/evacuation.rs
+++ b/crates/core/src/forwarding/evacuation.rs
@@ -18,10 +18,10 @@
 
 /// Time for which an evacuation goes on that a store lacks since it came back from a copy,
 /// in ms: the operator writes again what it had written, a few seconds later.
-pub const MISSING_FOR_MS: u64 = 10_000;
+pub const MISSING_GRACE_MS: u64 = 10_000;
 /// Time after which one is in force again that had ended and that such a store has, in ms:
 /// less than platforms allow for an evacuation, since the operator may have ordered it anew.
-pub const LISTED_FOR_MS: u64 = 3_000;
+pub const REINSTATE_DELAY_MS: u64 = 3_000;
 
 /// What the operator said last of one zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -94,8 +94,8 @@
     ///
     /// A store that has come back from a copy does not undo what is known at once, since
     /// the operator writes again what it had said: an evacuation that the copy lacks goes on
-    /// for [`MISSING_FOR_MS`], and one that has ended is in force again only if the store
-    /// has it for [`LISTED_FOR_MS`].
+    /// for [`MISSING_GRACE_MS`], and one that has ended is in force again only if the store
+    /// has it for [`REINSTATE_DELAY_MS`].
     pub fn apply_listing(
         &mut self,
         now_ms: u64,
@@ -110,7 +110,7 @@
         for (zone, order) in &mut self.zones {
             let is_listed = listed.contains_key(zone);
             if is_from_copy && order.is_evacuated && !is_listed {
-                let at_ms = now_ms + MISSING_FOR_MS;
+                let at_ms = now_ms + MISSING_GRACE_MS;
                 order.changes_at_ms.get_or_insert(at_ms);
             }
             let is_held = is_from_copy || order.changes_at_ms.is_some();
@@ -130,7 +130,7 @@
                     is_evacuated: false,
                     position,
                     is_in_turn: false,
-                    changes_at_ms: Some(now_ms + LISTED_FOR_MS),
+                    changes_at_ms: Some(now_ms + REINSTATE_DELAY_MS),
                 };
                 self.put(zone, order);
             } else if !is_pending {
@@ -142,7 +142,7 @@
 
     /// Takes over what a store that came back from a copy says, where the operator has not
     /// written anything else in time.
-    pub fn settle(&mut self, now_ms: u64) {
+    pub fn apply_due_changes(&mut self, now_ms: u64) {
         for order in self.zones.values_mut() {
             if order.changes_at_ms.is_some_and(|at_ms| at_ms <= now_ms) {
                 order.is_evacuated = !order.is_evacuated;
--- a/crates/core/tests/forwarding_copies.rs
+++ b/crates/core/tests/forwarding_copies.rs
@@ -6,8 +6,8 @@
 use quickcheck::{TestResult, quickcheck};
 use savoryvane_core::{
     forwarding::{
-        Cursor, Directory, DirectoryUpdate, Evacuations, LISTED_FOR_MS, MISSING_FOR_MS, Position,
-        ServerEntry, ServerState, SyncPoint,
+        Cursor, Directory, DirectoryUpdate, Evacuations, MISSING_GRACE_MS, Position,
+        REINSTATE_DELAY_MS, ServerEntry, ServerState, SyncPoint,
     },
     ids::{BackendName, PoolName, ZoneName},
 };
@@ -50,9 +50,9 @@
     assert!(is_evacuated(&evacuations));
     // Another listing of the same era says no more.
     read_copy(&mut evacuations, None, 2);
-    evacuations.settle(MISSING_FOR_MS - 1);
+    evacuations.apply_due_changes(MISSING_GRACE_MS - 1);
     assert!(is_evacuated(&evacuations));
-    evacuations.settle(MISSING_FOR_MS);
+    evacuations.apply_due_changes(MISSING_GRACE_MS);
     assert!(!is_evacuated(&evacuations));
 }
 
@@ -61,7 +61,7 @@
     let mut evacuations = known(true, 5);
     read_copy(&mut evacuations, None, 1);
     evacuations.apply(zone(), true, at(1, 1));
-    evacuations.settle(MISSING_FOR_MS);
+    evacuations.apply_due_changes(MISSING_GRACE_MS);
     assert!(is_evacuated(&evacuations));
 }
 
@@ -88,9 +88,9 @@
 fn one_that_the_store_goes_on_to_list_is_in_force_in_time() {
     let mut evacuations = known(false, 5);
     read_copy(&mut evacuations, Some(1), 2);
-    evacuations.settle(LISTED_FOR_MS - 1);
+    evacuations.apply_due_changes(REINSTATE_DELAY_MS - 1);
     assert!(!is_evacuated(&evacuations));
-    evacuations.settle(LISTED_FOR_MS);
+    evacuations.apply_due_changes(REINSTATE_DELAY_MS);
     assert!(is_evacuated(&evacuations));
     let mut evacuations = known(false, 5);
     read_copy(&mut evacuations, Some(5), 6);
@@ -250,7 +250,7 @@
             records(evacuations, 1, copied, orders.len());
             if copied == orders.len() {
                 // Nothing was lost, and nothing is written again.
-                evacuations.settle(MISSING_FOR_MS);
+                evacuations.apply_due_changes(MISSING_GRACE_MS);
             }
             let cursor = evacuations.cursor().advanced_to(1, orders.len() as u64);
             evacuations.advance_cursor(cursor);
--- a/crates/core/tests/forwarding_model.rs
+++ b/crates/core/tests/forwarding_model.rs
@@ -7,7 +7,7 @@
 };
 
 use savoryvane_core::{
-    forwarding::{Cursor, Evacuations, MISSING_FOR_MS, Position},
+    forwarding::{Cursor, Evacuations, MISSING_GRACE_MS, Position},
     ids::ZoneName,
 };
 
@@ -155,7 +155,7 @@
                 let last_word = next.records.last().copied();
                 let instance = &mut next.instances[instance];
                 let before = instance.evacuations.clone();
-                instance.evacuations.settle(MISSING_FOR_MS);
+                instance.evacuations.apply_due_changes(MISSING_GRACE_MS);
                 if instance.evacuations != before {
                     instance.last_word = instance.last_word.max(last_word);
                 }
--- a/crates/server/src/gateway/knowledge.rs
+++ b/crates/server/src/gateway/knowledge.rs
@@ -257,7 +257,7 @@
             }
             self.configure_fleet();
         }
-        self.change_evacuations("copy", |evacuations| evacuations.settle(now_ms));
+        self.change_evacuations("copy", |evacuations| evacuations.apply_due_changes(now_ms));
     }
 
     /// Applies the records that a read of the register of servers gave.
