--- a/crates/core/src/forwarding/directory.rs
+++ b/crates/core/src/forwarding/directory.rs
@@ -10,7 +10,7 @@
 use crate::{
     ids::{BackendName, PoolName, ZoneName},
     objects::{Backend, Fencing, Pool, StageKind},
-    poison::{Registered, spread},
+    poison::{Registered, sample_evenly},
 };
 
 /// Calls that a server takes where its service says nothing of it.
@@ -113,7 +113,7 @@
         let neighbours = entries.filter(|other| {
             other.zone == entry.zone && other.id != entry.id && other.state == ServerState::Ready
         });
-        spread(neighbours, most)
+        sample_evenly(neighbours, most)
     }
 
     /// Applies one record of the register at `at`: what a server says of itself, or none
--- a/crates/core/src/poison.rs
+++ b/crates/core/src/poison.rs
@@ -19,7 +19,9 @@
 mod tracker;
 
 pub use digest::{DigestBuilder, RequestDigest};
-pub use evidence::{Evidence, Fate, Probe, Registered, fate_at_loss, fate_later, spread};
+pub use evidence::{
+    Evidence, LostServerStatus, Probe, Registered, sample_evenly, status_after_loss, status_at_loss,
+};
 pub use permits::{Permit, PermitState, Permits};
 pub use record::{AdvertisedCrashes, CrashReport, QuarantineSettings, Standing};
 pub use stored::{Renewal, StoredChange, StoredCrash, StoredCrashes, StoredRecords};
--- a/crates/core/src/poison/evidence.rs
+++ b/crates/core/src/poison/evidence.rs
@@ -51,7 +51,7 @@
 
 /// What became of a server whose connection was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum LostServerStatus {
     /// It has ended.
     Ended(Evidence),
     /// It ended as planned, or runs on: its requests are not to blame.
@@ -68,27 +68,33 @@
 /// refused connection alone is no end: network partitions refuse connections too, to all
 /// servers of a zone (all 21 refused ones of a day with a partition that resets
 /// connections, whose servers ran on).
-pub fn fate_at_loss(registered: Registered, probe: Probe, neighbour: Probe) -> Fate {
+pub fn status_at_loss(registered: Registered, probe: Probe, neighbour: Probe) -> LostServerStatus {
     match (registered, probe) {
-        (Registered::Leaving | Registered::Gone, _) => Fate::NotToBlame,
-        (Registered::Replaced, _) => Fate::Ended(Evidence::Restarted),
-        (Registered::Ready, Probe::Open) => Fate::NotToBlame,
+        (Registered::Leaving | Registered::Gone, _) => LostServerStatus::NotToBlame,
+        (Registered::Replaced, _) => LostServerStatus::Ended(Evidence::Restarted),
+        (Registered::Ready, Probe::Open) => LostServerStatus::NotToBlame,
         (Registered::Ready, Probe::Refused) if neighbour == Probe::Open => {
-            Fate::Ended(Evidence::Refused)
+            LostServerStatus::Ended(Evidence::Refused)
         }
-        (Registered::Ready, Probe::Refused | Probe::Unknown) => Fate::Unknown,
+        (Registered::Ready, Probe::Refused | Probe::Unknown) => LostServerStatus::Unknown,
     }
 }
 
 /// Decides the same some time later, for a server that was registered when its
 /// connection was lost and of which nothing was known then. Behind a partition entries
 /// lapse of servers that run on, so that a neighbour has to be reached for it.
-pub fn fate_later(registered: Registered, probe: Probe, neighbour: Probe) -> Fate {
+pub fn status_after_loss(
+    registered: Registered,
+    probe: Probe,
+    neighbour: Probe,
+) -> LostServerStatus {
     match (registered, probe) {
-        (Registered::Gone, Probe::Open) => Fate::NotToBlame,
-        (Registered::Gone, _) if neighbour == Probe::Open => Fate::Ended(Evidence::Lapsed),
-        (Registered::Gone, _) => Fate::Unknown,
-        _ => fate_at_loss(registered, probe, neighbour),
+        (Registered::Gone, Probe::Open) => LostServerStatus::NotToBlame,
+        (Registered::Gone, _) if neighbour == Probe::Open => {
+            LostServerStatus::Ended(Evidence::Lapsed)
+        }
+        (Registered::Gone, _) => LostServerStatus::Unknown,
+        _ => status_at_loss(registered, probe, neighbour),
     }
 }
 
--- a/crates/core/tests/poison_tracker.rs
+++ b/crates/core/tests/poison_tracker.rs
@@ -4,8 +4,9 @@
 use savoryvane_core::{
     ids::{BackendName, WorkspaceName},
     poison::{
-        CrashReport, CrashTracker, DigestBuilder, Evidence, Fate, Permit, PermitState, Permits,
-        Probe, QuarantineSettings, Registered, RequestDigest, Standing, fate_at_loss, fate_later,
+        CrashReport, CrashTracker, DigestBuilder, Evidence, LostServerStatus, Permit, PermitState,
+        Permits, Probe, QuarantineSettings, Registered, RequestDigest, Standing, status_after_loss,
+        status_at_loss,
     },
 };
 
@@ -295,15 +296,15 @@
 #[test]
 fn resets_partitions_and_planned_stops_are_no_ends() {
     use Probe::{Open, Refused, Unknown};
-    let ended = Fate::Ended;
+    let ended = LostServerStatus::Ended;
     for (registered, probe, neighbour, at_loss, later) in [
         // A reset: it accepts.
         (
             Registered::Ready,
             Open,
             Open,
-            Fate::NotToBlame,
-            Fate::NotToBlame,
+            LostServerStatus::NotToBlame,
+            LostServerStatus::NotToBlame,
         ),
         // A crash: it refuses, and its neighbour accepts.
         (
@@ -318,36 +319,36 @@
             Registered::Ready,
             Refused,
             Refused,
-            Fate::Unknown,
-            Fate::Unknown,
+            LostServerStatus::Unknown,
+            LostServerStatus::Unknown,
         ),
         (
             Registered::Ready,
             Unknown,
             Unknown,
-            Fate::Unknown,
-            Fate::Unknown,
+            LostServerStatus::Unknown,
+            LostServerStatus::Unknown,
         ),
         (
             Registered::Gone,
             Refused,
             Unknown,
-            Fate::NotToBlame,
-            Fate::Unknown,
+            LostServerStatus::NotToBlame,
+            LostServerStatus::Unknown,
         ),
         // A loss of power, of which the register tells later.
         (
             Registered::Ready,
             Unknown,
             Open,
-            Fate::Unknown,
-            Fate::Unknown,
+            LostServerStatus::Unknown,
+            LostServerStatus::Unknown,
         ),
         (
             Registered::Gone,
             Unknown,
             Open,
-            Fate::NotToBlame,
+            LostServerStatus::NotToBlame,
             ended(Evidence::Lapsed),
         ),
         // A planned stop, announced or not.
@@ -355,15 +356,15 @@
             Registered::Leaving,
             Refused,
             Open,
-            Fate::NotToBlame,
-            Fate::NotToBlame,
+            LostServerStatus::NotToBlame,
+            LostServerStatus::NotToBlame,
         ),
         (
             Registered::Gone,
             Open,
             Open,
-            Fate::NotToBlame,
-            Fate::NotToBlame,
+            LostServerStatus::NotToBlame,
+            LostServerStatus::NotToBlame,
         ),
         // It has started again.
         (
@@ -376,11 +377,15 @@
     ] {
         let case = format!("{registered:?} {probe:?} {neighbour:?}");
         assert_eq!(
-            fate_at_loss(registered, probe, neighbour),
+            status_at_loss(registered, probe, neighbour),
             at_loss,
             "{case}"
         );
-        assert_eq!(fate_later(registered, probe, neighbour), later, "{case}");
+        assert_eq!(
+            status_after_loss(registered, probe, neighbour),
+            later,
+            "{case}"
+        );
     }
 }
 
--- a/crates/server/src/crashes.rs
+++ b/crates/server/src/crashes.rs
@@ -13,8 +13,9 @@
     ids::{BackendName, InstanceName, RequestId},
     objects::Backend,
     poison::{
-        CrashReport, CrashTracker, Evidence, Fate, Probe, QuarantineSettings, Registered, Renewal,
-        RequestDigest, Standing, StoredChange, StoredCrashes, fate_at_loss, spread,
+        CrashReport, CrashTracker, Evidence, LostServerStatus, Probe, QuarantineSettings,
+        Registered, Renewal, RequestDigest, Standing, StoredChange, StoredCrashes, sample_evenly,
+        status_at_loss,
     },
 };
 use savoryvane_wire::peer::Message;
@@ -106,11 +107,11 @@
         true => Registered::Leaving,
         false => Registered::Ready,
     };
-    let fate = fate_at_loss(registered, probe, neighbour);
+    let fate = status_at_loss(registered, probe, neighbour);
     info!(shared.log, "connection to server lost"; "request" => %lost.request,
         "digest" => %lost.digest, "server" => %lost.backend, "registered" => ?registered,
         "probe" => ?probe, "neighbour" => ?neighbour, "fate" => ?fate);
-    if let Fate::Ended(evidence) = fate {
+    if let LostServerStatus::Ended(evidence) = fate {
         on_ended(shared, lost, evidence);
     }
 }
@@ -206,5 +207,5 @@
     let state = shared.configuration.state();
     let others = state.backends();
     let others = others.filter(|other| other.zone == backend.zone && other.name != backend.name);
-    spread(others.map(|other| other.addr), probing::NEIGHBOURS)
+    sample_evenly(others.map(|other| other.addr), probing::NEIGHBOURS)
 }
--- a/crates/server/src/gateway/calls.rs
+++ b/crates/server/src/gateway/calls.rs
@@ -8,7 +8,7 @@
 use savoryvane_core::{
     forwarding::ServerEntry,
     ids::{BackendName, RequestId},
-    poison::{Fate, RequestDigest},
+    poison::{LostServerStatus, RequestDigest},
     stages::{CallEnd, ItemEnd, ItemInput, StageCall},
 };
 use savoryvane_platform::{
@@ -112,7 +112,7 @@
         let fate = self.ends.on_lost(lost).await;
         let digests = requests.into_keys();
         let ends = digests.map(|digest| (digest, self.quarantine.ends(&digest)));
-        matches!(fate, Fate::Ended(_)).then(|| ends.collect())
+        matches!(fate, LostServerStatus::Ended(_)).then(|| ends.collect())
     }
 
     fn log_call(&self, call: &StageCall, end: &CallEnd, elapsed_ms: u64) {
--- a/crates/server/src/gateway/crashes.rs
+++ b/crates/server/src/gateway/crashes.rs
@@ -9,7 +9,8 @@
     forwarding::ServerEntry,
     ids::RequestId,
     poison::{
-        CrashReport, Evidence, Fate, Probe, Registered, RequestDigest, fate_at_loss, fate_later,
+        CrashReport, Evidence, LostServerStatus, Probe, Registered, RequestDigest,
+        status_after_loss, status_at_loss,
     },
 };
 use slog::{Logger, info, warn};
@@ -102,18 +103,18 @@
 
     /// Finds out what became of a server, and tells the other instances if it has ended.
     /// What takes longer than callers should wait for is found out later.
-    pub(super) async fn on_lost(&self, lost: LostServer) -> Fate {
+    pub(super) async fn on_lost(&self, lost: LostServer) -> LostServerStatus {
         let probes = time::timeout(probing::PROBE_TIMEOUT, self.probe(&lost.server)).await;
         let (probe, neighbour) = probes.unwrap_or((Probe::Unknown, Probe::Unknown));
         let registered = self.knowledge.directory().registered(&lost.server);
-        let fate = fate_at_loss(registered, probe, neighbour);
+        let fate = status_at_loss(registered, probe, neighbour);
         info!(self.log, "connection to server lost"; "server" => %lost.server.id,
             "requests" => lost.requests.len(), "registered" => ?registered, "probe" => ?probe,
             "neighbour" => ?neighbour, "fate" => ?fate);
         match fate {
-            Fate::Ended(evidence) => self.on_ended(lost, evidence).await,
-            Fate::Unknown => self.watch(lost, None),
-            Fate::NotToBlame => {}
+            LostServerStatus::Ended(evidence) => self.on_ended(lost, evidence).await,
+            LostServerStatus::Unknown => self.watch(lost, None),
+            LostServerStatus::NotToBlame => {}
         }
         fate
     }
@@ -194,10 +195,12 @@
             return;
         }
         let (probe, neighbour) = self.probe(&item.lost.server).await;
-        match fate_later(registered, probe, neighbour) {
-            Fate::Ended(evidence) => self.on_ended(item.lost, evidence).await,
-            Fate::Unknown if item.since.elapsed() < UNKNOWN_FOR => self.watch_again(item),
-            Fate::Unknown | Fate::NotToBlame => {}
+        match status_after_loss(registered, probe, neighbour) {
+            LostServerStatus::Ended(evidence) => self.on_ended(item.lost, evidence).await,
+            LostServerStatus::Unknown if item.since.elapsed() < UNKNOWN_FOR => {
+                self.watch_again(item)
+            }
+            LostServerStatus::Unknown | LostServerStatus::NotToBlame => {}
         }
     }
 
