--- a/crates/bench/src/poison_day/sharing.rs
+++ b/crates/bench/src/poison_day/sharing.rs
@@ -5,7 +5,7 @@
     ids::{BackendName, Incarnation},
     poison::{
         AdvertisedCrashes, CrashReport, CrashTracker, Evidence, Permit, PermitState, Permits,
-        QuarantineSettings, RequestDigest, Standing,
+        QuarantineSettings, QuarantineStatus, RequestDigest,
     },
 };
 use savoryvane_wire::peer::{self, CrashQuery, CrashState, KnownCrashes, Message};
@@ -68,10 +68,10 @@
         if self.counting == Counting::Off {
             return Admitted::Freely;
         }
-        match self.books[instance].standing(now_ms, &digest) {
-            Standing::Clear => return Admitted::Freely,
-            Standing::Quarantined { .. } => return Admitted::Quarantined,
-            Standing::Suspect { .. } => {}
+        match self.books[instance].status(now_ms, &digest) {
+            QuarantineStatus::Clear => return Admitted::Freely,
+            QuarantineStatus::Quarantined { .. } => return Admitted::Quarantined,
+            QuarantineStatus::Suspect { .. } => {}
         }
         let book = &self.books[SCHEDULER];
         match self.permits.grant(now_ms, book, digest, lease_ms) {
--- a/crates/core/src/poison.rs
+++ b/crates/core/src/poison.rs
@@ -23,6 +23,6 @@
     Evidence, LostServerStatus, Probe, Registered, sample_evenly, status_after_loss, status_at_loss,
 };
 pub use permits::{Permit, PermitState, Permits};
-pub use record::{AdvertisedCrashes, CrashReport, QuarantineSettings, Standing};
+pub use record::{AdvertisedCrashes, CrashReport, QuarantineSettings, QuarantineStatus};
 pub use stored::{Renewal, StoredChange, StoredCrash, StoredCrashes, StoredRecords};
 pub use tracker::{CRASHES_TO_ISOLATE, CRASHES_TO_QUARANTINE, CrashTracker};
--- a/crates/core/src/poison/permits.rs
+++ b/crates/core/src/poison/permits.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    CrashReport, RequestDigest, Standing,
+    CrashReport, QuarantineStatus, RequestDigest,
     tracker::{CRASHES_TO_ISOLATE, CrashTracker},
 };
 
@@ -58,8 +58,8 @@
         digest: RequestDigest,
         lease_ms: u64,
     ) -> PermitState {
-        let standing = book.standing(now_ms, &digest);
-        if let Standing::Quarantined { .. } = standing {
+        let standing = book.status(now_ms, &digest);
+        if let QuarantineStatus::Quarantined { .. } = standing {
             return PermitState::Quarantined(book.records(now_ms, &digest));
         }
         match self.take(now_ms, digest, standing.ends(), lease_ms) {
--- a/crates/core/src/poison/record.rs
+++ b/crates/core/src/poison/record.rs
@@ -32,7 +32,7 @@
 
 /// Where a request stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum QuarantineStatus {
     /// Nothing is known against it.
     Clear,
     /// Servers have ended under it: one copy of it runs at a time.
@@ -49,7 +49,7 @@
     },
 }
 
-impl Standing {
+impl QuarantineStatus {
     /// Returns how many servers have ended under the request.
     pub fn ends(self) -> u32 {
         match self {
--- a/crates/core/src/poison/tracker.rs
+++ b/crates/core/src/poison/tracker.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use super::{
-    AdvertisedCrashes, CrashReport, Evidence, QuarantineSettings, RequestDigest, Standing,
+    AdvertisedCrashes, CrashReport, Evidence, QuarantineSettings, QuarantineStatus, RequestDigest,
     StoredChange, StoredCrash, StoredCrashes, recent::RecentAnswers,
 };
 use crate::ids::BackendName;
@@ -165,28 +165,28 @@
     }
 
     /// Tells where a request stands.
-    pub fn standing(&self, now_ms: u64, digest: &RequestDigest) -> Standing {
+    pub fn status(&self, now_ms: u64, digest: &RequestDigest) -> QuarantineStatus {
         let Some(entry) = self.entries.get(digest) else {
-            return Standing::Clear;
+            return QuarantineStatus::Clear;
         };
         let ends = entry.count();
         let until_ms = entry.quarantine_until_ms(&self.settings);
         if let Some(until_ms) = until_ms.filter(|until_ms| now_ms < *until_ms) {
             let retry_after_ms = until_ms - now_ms;
-            return Standing::Quarantined {
+            return QuarantineStatus::Quarantined {
                 ends,
                 retry_after_ms,
             };
         }
         if ends == 0 || now_ms >= entry.forgotten_at_ms(&self.settings) {
-            return Standing::Clear;
+            return QuarantineStatus::Clear;
         }
-        Standing::Suspect { ends }
+        QuarantineStatus::Suspect { ends }
     }
 
     /// Returns how many servers have ended under a request.
     pub fn ends(&self, now_ms: u64, digest: &RequestDigest) -> u32 {
-        self.standing(now_ms, digest).ends()
+        self.status(now_ms, digest).ends()
     }
 
     /// Notes an end that this instance saw, unless the request was answered lately: one
--- a/crates/core/tests/poison_tracker.rs
+++ b/crates/core/tests/poison_tracker.rs
@@ -5,8 +5,8 @@
     ids::{BackendName, WorkspaceName},
     poison::{
         CrashReport, CrashTracker, DigestBuilder, Evidence, LostServerStatus, Permit, PermitState,
-        Permits, Probe, QuarantineSettings, Registered, RequestDigest, Standing, status_after_loss,
-        status_at_loss,
+        Permits, Probe, QuarantineSettings, QuarantineStatus, Registered, RequestDigest,
+        status_after_loss, status_at_loss,
     },
 };
 
@@ -75,16 +75,19 @@
 
 #[test]
 fn three_servers_make_a_suspect_a_quarantined_one() {
-    assert_eq!(book(&[]).standing(0, &digest(1)), Standing::Clear);
+    assert_eq!(book(&[]).standing(0, &digest(1)), QuarantineStatus::Clear);
     let two = book(&["i-1", "i-2", "i-2"]);
-    assert_eq!(two.standing(0, &digest(1)), Standing::Suspect { ends: 2 });
+    assert_eq!(
+        two.status(0, &digest(1)),
+        QuarantineStatus::Suspect { ends: 2 }
+    );
     let three = book(&["i-1", "i-2", "i-3"]);
-    let quarantined = Standing::Quarantined {
+    let quarantined = QuarantineStatus::Quarantined {
         ends: 3,
         retry_after_ms: 9 * MINUTE_MS,
     };
-    assert_eq!(three.standing(MINUTE_MS, &digest(1)), quarantined);
-    assert_eq!(three.standing(MINUTE_MS, &digest(2)), Standing::Clear);
+    assert_eq!(three.status(MINUTE_MS, &digest(1)), quarantined);
+    assert_eq!(three.status(MINUTE_MS, &digest(2)), QuarantineStatus::Clear);
 }
 
 #[test]
@@ -93,10 +96,10 @@
     let trial_ms = 10 * MINUTE_MS;
     assert_eq!(
         book.standing(trial_ms, &digest(1)),
-        Standing::Suspect { ends: 3 }
+        QuarantineStatus::Suspect { ends: 3 }
     );
     assert!(book.on_end(trial_ms, end(1, "i-4")));
-    let quarantined = Standing::Quarantined {
+    let quarantined = QuarantineStatus::Quarantined {
         ends: 4,
         retry_after_ms: 20 * MINUTE_MS,
     };
@@ -111,19 +114,31 @@
     other.on_told(0, book.told_since(0, 0).records);
     assert!(book.on_answered(10 * MINUTE_MS, digest(1)));
     assert!(!book.on_answered(10 * MINUTE_MS, digest(1)));
-    assert_eq!(book.standing(10 * MINUTE_MS, &digest(1)), Standing::Clear);
+    assert_eq!(
+        book.status(10 * MINUTE_MS, &digest(1)),
+        QuarantineStatus::Clear
+    );
     // What others still tell of before does not bring it back.
     book.on_told(10 * MINUTE_MS, other.told_since(10 * MINUTE_MS, 0).records);
-    assert_eq!(book.standing(10 * MINUTE_MS, &digest(1)), Standing::Clear);
+    assert_eq!(
+        book.status(10 * MINUTE_MS, &digest(1)),
+        QuarantineStatus::Clear
+    );
     other.on_told(10 * MINUTE_MS, book.told_since(10 * MINUTE_MS, 0).records);
-    assert_eq!(other.standing(10 * MINUTE_MS, &digest(1)), Standing::Clear);
+    assert_eq!(
+        other.status(10 * MINUTE_MS, &digest(1)),
+        QuarantineStatus::Clear
+    );
 }
 
 #[test]
 fn a_server_that_runs_on_is_no_end() {
     let mut book = book(&["i-1", "i-2", "i-3"]);
     assert!(book.on_running(digest(1), &BackendName::new("i-2")));
-    assert_eq!(book.standing(0, &digest(1)), Standing::Suspect { ends: 2 });
+    assert_eq!(
+        book.status(0, &digest(1)),
+        QuarantineStatus::Suspect { ends: 2 }
+    );
     assert!(!book.on_running(digest(1), &BackendName::new("i-9")));
 }
 
@@ -133,7 +148,7 @@
     let mut book = CrashTracker::new(SETTINGS);
     book.on_answered(1_000, digest(1));
     assert!(!book.on_end(5_000, end(1, "i-1")));
-    assert_eq!(book.standing(5_000, &digest(1)), Standing::Clear);
+    assert_eq!(book.status(5_000, &digest(1)), QuarantineStatus::Clear);
     assert!(book.on_end(12_000, end(1, "i-2")));
 }
 
@@ -160,8 +175,8 @@
         assert!(book.len() <= SETTINGS.max_requests);
     }
     assert!(matches!(
-        book.standing(10_000, &digest(1)),
-        Standing::Quarantined { .. }
+        book.status(10_000, &digest(1)),
+        QuarantineStatus::Quarantined { .. }
     ));
     assert_eq!(book.ends(10_000, &digest(9_999)), 1);
 }
--- a/crates/server/src/crashes.rs
+++ b/crates/server/src/crashes.rs
@@ -14,8 +14,8 @@
     objects::Backend,
     poison::{
         CrashReport, CrashTracker, Evidence, LostServerStatus, Probe, QuarantineSettings,
-        Registered, Renewal, RequestDigest, Standing, StoredChange, StoredCrashes, sample_evenly,
-        status_at_loss,
+        QuarantineStatus, Registered, Renewal, RequestDigest, StoredChange, StoredCrashes,
+        sample_evenly, status_at_loss,
     },
 };
 use savoryvane_wire::peer::Message;
@@ -80,8 +80,8 @@
     digest: &RequestDigest,
 ) -> Option<u64> {
     let now_ms = shared.clock.now_ms();
-    let standing = shared.ends.book().standing(now_ms, digest);
-    let Standing::Quarantined {
+    let standing = shared.ends.book().status(now_ms, digest);
+    let QuarantineStatus::Quarantined {
         ends,
         retry_after_ms,
     } = standing
--- a/crates/server/src/gateway/admitting.rs
+++ b/crates/server/src/gateway/admitting.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use savoryvane_core::poison::Standing;
+use savoryvane_core::poison::QuarantineStatus;
 use slog::info;
 
 use super::{
@@ -32,10 +32,12 @@
         // a loss of all would end three more servers.
         self.quarantine.loaded(LEARN_TIMEOUT).await;
         match self.quarantine.standing(&caller.digest) {
-            Standing::Clear => Ok(()),
-            Standing::Quarantined { .. } => Err(self.refuse_quarantined(caller, CountedBy::Own)),
-            Standing::Suspect { .. } if permit.is_some() => Ok(()),
-            Standing::Suspect { ends } => {
+            QuarantineStatus::Clear => Ok(()),
+            QuarantineStatus::Quarantined { .. } => {
+                Err(self.refuse_quarantined(caller, CountedBy::Own))
+            }
+            QuarantineStatus::Suspect { .. } if permit.is_some() => Ok(()),
+            QuarantineStatus::Suspect { ends } => {
                 let asked = self.quarantine.ask(caller.digest, caller.left()).await;
                 match asked {
                     Asked::Granted(held) => {
@@ -68,8 +70,8 @@
     fn refuse_quarantined(&self, caller: &CallerRequest, counted_by: CountedBy) -> Why {
         let standing = self.quarantine.standing(&caller.digest);
         let retry_after_ms = match standing {
-            Standing::Quarantined { retry_after_ms, .. } => Some(retry_after_ms),
-            Standing::Suspect { .. } | Standing::Clear => None,
+            QuarantineStatus::Quarantined { retry_after_ms, .. } => Some(retry_after_ms),
+            QuarantineStatus::Suspect { .. } | QuarantineStatus::Clear => None,
         };
         suspects::refused(
             &self.log,
--- a/crates/server/src/gateway/dispatch.rs
+++ b/crates/server/src/gateway/dispatch.rs
@@ -10,7 +10,7 @@
 
 use savoryvane_core::{
     ids::{BackendName, InstanceName, RequestId},
-    poison::Standing,
+    poison::QuarantineStatus,
     stages::{
         Refusal, RequestKey, StageAction, StageCall, StageOutcome, StageScheduler, Submission,
     },
@@ -91,7 +91,7 @@
     /// Runs the stages of a request; dropping the future gives them up.
     pub(super) async fn run(self: &Arc<Self>, mut submission: Submission) -> StageOutcome {
         // Whoever submits it may know less of it, as after a partition.
-        if let Standing::Quarantined { .. } = self.quarantine.standing(&submission.digest) {
+        if let QuarantineStatus::Quarantined { .. } = self.quarantine.standing(&submission.digest) {
             return StageOutcome::ends_servers();
         }
         let ends = self.quarantine.ends(&submission.digest);
--- a/crates/server/src/gateway/quarantine.rs
+++ b/crates/server/src/gateway/quarantine.rs
@@ -14,7 +14,7 @@
     ids::{BackendName, Incarnation, InstanceName},
     poison::{
         CRASHES_TO_QUARANTINE, CrashReport, CrashTracker, Permit, PermitState, Permits,
-        QuarantineSettings, RequestDigest, Standing,
+        QuarantineSettings, QuarantineStatus, RequestDigest,
     },
 };
 use savoryvane_wire::peer::{
@@ -129,15 +129,15 @@
     }
 
     /// Tells where a request stands.
-    pub(super) fn standing(&self, digest: &RequestDigest) -> Standing {
-        self.book().standing(self.clock.now_ms(), digest)
+    pub(super) fn standing(&self, digest: &RequestDigest) -> QuarantineStatus {
+        self.book().status(self.clock.now_ms(), digest)
     }
 
     /// Returns how many servers have ended under a request; fewer than are too many for
     /// one that is not quarantined.
     pub(super) fn ends(&self, digest: &RequestDigest) -> u32 {
         match self.standing(digest) {
-            Standing::Suspect { ends } => ends.min(CRASHES_TO_QUARANTINE - 1),
+            QuarantineStatus::Suspect { ends } => ends.min(CRASHES_TO_QUARANTINE - 1),
             standing => standing.ends(),
         }
     }
