--- a/crates/bench/src/bin/poison.rs
+++ b/crates/bench/src/bin/poison.rs
@@ -63,7 +63,7 @@
     let before = resident_bytes();
     let mut book = CrashTracker::new(QuarantineSettings::default());
     for number in 0..DISTINCT {
-        book.on_end(
+        book.on_crash(
             number,
             CrashReport {
                 digest: RequestDigest(u128::from(number).to_le_bytes()),
--- a/crates/bench/src/poison_day/sharing.rs
+++ b/crates/bench/src/poison_day/sharing.rs
@@ -78,7 +78,7 @@
             PermitState::Granted(permit) => Admitted::WithPermit(permit),
             PermitState::Out { .. } => Admitted::CopyRuns,
             PermitState::Quarantined(records) => {
-                self.books[instance].on_told(now_ms, records);
+                self.books[instance].on_reports(now_ms, records);
                 Admitted::Quarantined
             }
         }
@@ -86,7 +86,7 @@
 
     pub(super) fn give_back(&mut self, digest: &RequestDigest, permit: Option<Permit>) {
         if let Some(permit) = permit {
-            self.permits.give_back(digest, permit);
+            self.permits.release(digest, permit);
         }
     }
 
@@ -106,7 +106,8 @@
             age_ms: 0,
             is_withdrawn: false,
         };
-        if self.counting == Counting::Shared && self.books[instance].on_end(now_ms, record.clone())
+        if self.counting == Counting::Shared
+            && self.books[instance].on_crash(now_ms, record.clone())
         {
             self.tell(now_ms, instance, vec![record]);
         }
@@ -124,11 +125,11 @@
         if self.counting == Counting::Off || instance == SCHEDULER {
             return;
         }
-        self.books[SCHEDULER].on_told(now_ms, records.clone());
+        self.books[SCHEDULER].on_reports(now_ms, records.clone());
         let AdvertisedCrashes {
             records: told,
             revision,
-        } = self.books[SCHEDULER].told_since(now_ms, self.known[instance]);
+        } = self.books[SCHEDULER].reports_since(now_ms, self.known[instance]);
         let known = |revision| KnownCrashes {
             incarnation: Incarnation(1),
             revision,
@@ -146,7 +147,7 @@
             + length(&Message::CrashState(state));
         self.bytes[instance] += bytes;
         self.bytes[SCHEDULER] += bytes;
-        self.books[instance].on_told(now_ms, told);
+        self.books[instance].on_reports(now_ms, told);
         self.known[instance] = revision;
     }
 }
--- a/crates/core/src/poison/permits.rs
+++ b/crates/core/src/poison/permits.rs
@@ -105,7 +105,7 @@
     }
 
     /// Takes a permit back; one that has lapsed is nobody's any more.
-    pub fn give_back(&mut self, digest: &RequestDigest, permit: Permit) {
+    pub fn release(&mut self, digest: &RequestDigest, permit: Permit) {
         if self.out.get(digest).is_some_and(|out| out.permit == permit) {
             self.out.remove(digest);
         }
--- a/crates/core/src/poison/recent.rs
+++ b/crates/core/src/poison/recent.rs
@@ -22,7 +22,7 @@
 
 impl RecentAnswers {
     pub(super) fn add(&mut self, now_ms: u64, digest: RequestDigest) {
-        self.turn(now_ms);
+        self.rotate(now_ms);
         if self.current.len() >= MOST_RECENT {
             self.next_generation(now_ms);
         }
@@ -30,11 +30,11 @@
     }
 
     pub(super) fn has(&mut self, now_ms: u64, digest: &RequestDigest) -> bool {
-        self.turn(now_ms);
+        self.rotate(now_ms);
         self.current.contains(digest) || self.previous.contains(digest)
     }
 
-    fn turn(&mut self, now_ms: u64) {
+    fn rotate(&mut self, now_ms: u64) {
         let age_ms = now_ms.saturating_sub(self.since_ms);
         if age_ms >= RECENT_MS {
             self.next_generation(now_ms);
--- a/crates/core/src/poison/stored.rs
+++ b/crates/core/src/poison/stored.rs
@@ -32,7 +32,7 @@
 
 impl StoredCrashes {
     /// Returns what is kept of a request that is forgotten.
-    pub(super) fn nothing(digest: RequestDigest) -> Self {
+    pub(super) fn empty(digest: RequestDigest) -> Self {
         Self {
             digest,
             ends: Vec::new(),
@@ -44,9 +44,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoredChange {
     /// The log keeps a request, with all these ends.
-    Kept(StoredCrashes),
+    Persisted(StoredCrashes),
     /// The log keeps a request no more, and these ends count no more.
-    TakenBack(StoredCrashes),
+    Removed(StoredCrashes),
 }
 
 /// What the records of a log come to, from the first to the last that was read.
@@ -60,7 +60,7 @@
         let StoredCrashes { digest, ends } = stored;
         if ends.is_empty() {
             let ends = self.0.remove(&digest).unwrap_or_default();
-            return StoredChange::TakenBack(StoredCrashes { digest, ends });
+            return StoredChange::Removed(StoredCrashes { digest, ends });
         }
         let known = self.0.entry(digest).or_default();
         for end in ends {
@@ -68,7 +68,7 @@
                 known.push(end);
             }
         }
-        StoredChange::Kept(StoredCrashes {
+        StoredChange::Persisted(StoredCrashes {
             digest,
             ends: known.clone(),
         })
@@ -94,8 +94,8 @@
     /// Returns what is to be written now of a book.
     pub fn to_write(&self, now_ms: u64, book: &CrashTracker) -> Vec<StoredCrashes> {
         match now_ms >= self.due_ms {
-            true => book.all_to_keep(),
-            false => book.to_keep(),
+            true => book.all_persistable(),
+            false => book.unpersisted(),
         }
     }
 
--- a/crates/core/src/poison/tracker.rs
+++ b/crates/core/src/poison/tracker.rs
@@ -192,7 +192,7 @@
     /// Notes an end that this instance saw, unless the request was answered lately: one
     /// that many callers' programs send all the time is at each server that ends. Returns
     /// whether it counts.
-    pub fn on_end(&mut self, now_ms: u64, record: CrashReport) -> bool {
+    pub fn on_crash(&mut self, now_ms: u64, record: CrashReport) -> bool {
         if self.answered.has(now_ms, &record.digest) {
             return false;
         }
@@ -201,7 +201,7 @@
     }
 
     /// Takes over ends that others saw; tells whether any was new.
-    pub fn on_told(&mut self, now_ms: u64, records: Vec<CrashReport>) -> bool {
+    pub fn on_reports(&mut self, now_ms: u64, records: Vec<CrashReport>) -> bool {
         let before = self.revision;
         for record in records {
             self.merge(now_ms, record, false);
@@ -210,7 +210,7 @@
     }
 
     /// Takes over what is kept of requests outside.
-    pub fn on_stored(&mut self, now_ms: u64, stored: Vec<StoredCrashes>) {
+    pub fn on_loaded(&mut self, now_ms: u64, stored: Vec<StoredCrashes>) {
         for StoredCrashes { digest, ends } in stored {
             let stored_ends = ends.len() as u32;
             let records = ends.into_iter().map(|end| CrashReport {
@@ -220,7 +220,7 @@
                 age_ms: 0,
                 is_withdrawn: false,
             });
-            self.on_told(now_ms, records.collect());
+            self.on_reports(now_ms, records.collect());
             if let Some(entry) = self.entries.get_mut(&digest) {
                 // There may be more by now, which are to be kept too.
                 entry.stored_ends = stored_ends;
@@ -229,13 +229,13 @@
     }
 
     /// Takes over what a log that others write too says next.
-    pub fn on_logged(&mut self, now_ms: u64, change: StoredChange) {
+    pub fn on_log_change(&mut self, now_ms: u64, change: StoredChange) {
         match change {
-            StoredChange::Kept(stored) => self.on_stored(now_ms, vec![stored]),
-            StoredChange::TakenBack(stored) => {
+            StoredChange::Persisted(stored) => self.on_loaded(now_ms, vec![stored]),
+            StoredChange::Removed(stored) => {
                 let is_meant = |end: &End| stored.ends.iter().any(|s| s.server == end.server);
                 self.withdraw(stored.digest, is_meant);
-                self.on_kept(&StoredCrashes::nothing(stored.digest));
+                self.on_persisted(&StoredCrashes::empty(stored.digest));
             }
         }
     }
@@ -248,7 +248,7 @@
     }
 
     /// Notes that a server runs on. Tells whether it had been taken for ended.
-    pub fn on_running(&mut self, digest: RequestDigest, server: &BackendName) -> bool {
+    pub fn on_still_running(&mut self, digest: RequestDigest, server: &BackendName) -> bool {
         self.withdraw(digest, |end| end.server == *server)
     }
 
@@ -273,7 +273,7 @@
         let entry = self.entries.entry(digest).or_default();
         if entry.merge(now_ms, record, is_own) {
             self.note_change(digest);
-            self.keep_to_bound();
+            self.evict_excess();
         }
     }
 
@@ -289,7 +289,7 @@
     /// Gives up the request with the fewest ends, the oldest of them, where there are
     /// too many: callers who vary a request end a server with each, and none of these
     /// comes again.
-    fn keep_to_bound(&mut self) {
+    fn evict_excess(&mut self) {
         if self.entries.len() <= self.settings.max_requests {
             return;
         }
@@ -312,7 +312,7 @@
     }
 
     /// Forgets requests whose time has come.
-    pub fn forget_old(&mut self, now_ms: u64) {
+    pub fn forget_expired(&mut self, now_ms: u64) {
         let settings = self.settings;
         let entries = self.entries.iter();
         let old = entries.filter(|(_, entry)| now_ms >= entry.forgotten_at_ms(&settings));
@@ -326,7 +326,7 @@
     /// goes into one message. Where it is more than that, requests with a single end are
     /// left out: hundreds of servers that crash together leave thousands, none of which
     /// comes to a second end, and telling each to 295 instances took 575 KB/s.
-    pub fn told_since(&self, now_ms: u64, revision: u64) -> AdvertisedCrashes {
+    pub fn reports_since(&self, now_ms: u64, revision: u64) -> AdvertisedCrashes {
         let most = self.settings.told_at_once;
         let changed = self.by_revision.range(revision + 1..);
         let changed = changed.filter_map(|(changed_at, digest)| {
@@ -354,7 +354,7 @@
     }
 
     /// Returns the ends that this instance saw or withdrew itself.
-    pub fn own(&self, now_ms: u64) -> Vec<CrashReport> {
+    pub fn own_reports(&self, now_ms: u64) -> Vec<CrashReport> {
         let entries = self.entries.iter();
         let own = entries.flat_map(|(digest, entry)| {
             let records = entry.records(now_ms, *digest);
@@ -374,8 +374,8 @@
 
     /// Returns what is to be kept outside and is not yet, quarantined requests with
     /// their ends and those that were forgotten or cleared without any. Each is noted
-    /// with [`on_kept`](Self::on_kept) once it is kept.
-    pub fn to_keep(&self) -> Vec<StoredCrashes> {
+    /// with [`on_persisted`](Self::on_persisted) once it is kept.
+    pub fn unpersisted(&self) -> Vec<StoredCrashes> {
         let mut to_keep: Vec<StoredCrashes> = Vec::new();
         for (digest, entry) in &self.entries {
             let count = entry.count();
@@ -383,16 +383,16 @@
                 to_keep.push(entry.to_store(*digest));
             }
             if count < CRASHES_TO_QUARANTINE && entry.stored_ends > 0 {
-                to_keep.push(StoredCrashes::nothing(*digest));
+                to_keep.push(StoredCrashes::empty(*digest));
             }
         }
-        to_keep.extend(self.forgotten.iter().copied().map(StoredCrashes::nothing));
+        to_keep.extend(self.forgotten.iter().copied().map(StoredCrashes::empty));
         to_keep
     }
 
     /// Returns all that is to be kept outside, whether it is already or not.
-    pub fn all_to_keep(&self) -> Vec<StoredCrashes> {
-        let mut to_keep = self.to_keep();
+    pub fn all_persistable(&self) -> Vec<StoredCrashes> {
+        let mut to_keep = self.unpersisted();
         let entries = self.entries.iter();
         let kept = entries.filter(|(_, entry)| {
             let count = entry.count();
@@ -411,7 +411,7 @@
     }
 
     /// Notes that what was returned to be kept is kept.
-    pub fn on_kept(&mut self, kept: &StoredCrashes) {
+    pub fn on_persisted(&mut self, kept: &StoredCrashes) {
         self.forgotten.retain(|digest| *digest != kept.digest);
         if let Some(entry) = self.entries.get_mut(&kept.digest) {
             entry.stored_ends = kept.ends.len() as u32;
--- a/crates/core/tests/poison_stored.rs
+++ b/crates/core/tests/poison_stored.rs
@@ -38,7 +38,7 @@
             age_ms: 0,
             is_withdrawn: false,
         };
-        book.on_end(0, record);
+        book.on_crash(0, record);
     }
     book
 }
@@ -46,7 +46,7 @@
 /// Writes what is due, and returns how many requests were.
 fn write(now_ms: u64, renewal: &mut Renewal, book: &mut CrashTracker) -> usize {
     let due = renewal.to_write(now_ms, book);
-    due.iter().for_each(|kept| book.on_kept(kept));
+    due.iter().for_each(|kept| book.on_persisted(kept));
     renewal.on_written(now_ms);
     due.len()
 }
@@ -59,12 +59,12 @@
     kept.add(stored(2, &["i-1", "i-2", "i-3"]));
     let all = stored(1, &["i-1", "i-2", "i-3", "i-4"]);
     let added = kept.add(stored(1, &["i-1", "i-2", "i-4"]));
-    assert_eq!(added, StoredChange::Kept(all.clone()));
-    assert_eq!(kept.add(stored(1, &[])), StoredChange::TakenBack(all));
+    assert_eq!(added, StoredChange::Persisted(all.clone()));
+    assert_eq!(kept.add(stored(1, &[])), StoredChange::Removed(all));
     let nothing = stored(3, &[]);
-    assert_eq!(kept.add(nothing.clone()), StoredChange::TakenBack(nothing));
+    assert_eq!(kept.add(nothing.clone()), StoredChange::Removed(nothing));
     let again = stored(1, &["i-5", "i-6", "i-7"]);
-    assert_eq!(kept.add(again.clone()), StoredChange::Kept(again));
+    assert_eq!(kept.add(again.clone()), StoredChange::Persisted(again));
 }
 
 /// Its log delivers late, or somebody writes whom it does not reach.
@@ -72,13 +72,13 @@
 fn one_that_reads_on_knows_what_others_keep_and_take_back() {
     let mut kept = StoredRecords::default();
     let mut book = CrashTracker::new(QuarantineSettings::default());
-    let mut read = |book: &mut CrashTracker, record| book.on_logged(0, kept.add(record));
+    let mut read = |book: &mut CrashTracker, record| book.on_log_change(0, kept.add(record));
     read(&mut book, stored(1, &["i-1", "i-2", "i-3"]));
     assert_eq!(book.ends(0, &digest(1)), 3);
-    assert!(book.to_keep().is_empty(), "the log keeps it already");
+    assert!(book.unpersisted().is_empty(), "the log keeps it already");
     read(&mut book, stored(1, &[]));
     assert_eq!(book.ends(0, &digest(1)), 0);
-    assert!(book.to_keep().is_empty(), "nor is it taken back twice");
+    assert!(book.unpersisted().is_empty(), "nor is it taken back twice");
     // What has ended since is not taken back with it.
     read(&mut book, stored(1, &["i-4", "i-5", "i-6"]));
     assert_eq!(book.ends(0, &digest(1)), 3);
@@ -91,12 +91,12 @@
 fn what_an_instance_reads_of_its_own_changes_nothing() {
     let mut kept = StoredRecords::default();
     let mut book = book();
-    let to_write = book.to_keep();
-    book.on_kept(&to_write[0]);
+    let to_write = book.unpersisted();
+    book.on_persisted(&to_write[0]);
     let revision = book.revision();
-    book.on_logged(0, kept.add(to_write[0].clone()));
+    book.on_log_change(0, kept.add(to_write[0].clone()));
     assert_eq!(book.revision(), revision);
-    assert!(book.to_keep().is_empty());
+    assert!(book.unpersisted().is_empty());
 }
 
 /// The first time all is written: whoever wrote before may be gone since long ago.
@@ -135,6 +135,6 @@
     assert_eq!(to_write, [stored(1, &[])]);
     let at_renewal = renewal.to_write(RETENTION_MS, &book);
     assert_eq!(at_renewal, to_write);
-    book.on_kept(&to_write[0]);
+    book.on_persisted(&to_write[0]);
     assert!(renewal.to_write(2, &book).is_empty());
 }
--- a/crates/core/tests/poison_tracker.rs
+++ b/crates/core/tests/poison_tracker.rs
@@ -35,7 +35,7 @@
 fn book(servers: &[&str]) -> CrashTracker {
     let mut book = CrashTracker::new(SETTINGS);
     for server in servers {
-        assert!(book.on_end(0, end(1, server)));
+        assert!(book.on_crash(0, end(1, server)));
     }
     book
 }
@@ -98,7 +98,7 @@
         book.standing(trial_ms, &digest(1)),
         QuarantineStatus::Suspect { ends: 3 }
     );
-    assert!(book.on_end(trial_ms, end(1, "i-4")));
+    assert!(book.on_crash(trial_ms, end(1, "i-4")));
     let quarantined = QuarantineStatus::Quarantined {
         ends: 4,
         retry_after_ms: 20 * MINUTE_MS,
@@ -111,7 +111,7 @@
 fn an_answer_clears_a_request_for_all() {
     let mut book = book(&["i-1", "i-2", "i-3"]);
     let mut other = CrashTracker::new(SETTINGS);
-    other.on_told(0, book.told_since(0, 0).records);
+    other.on_told(0, book.reports_since(0, 0).records);
     assert!(book.on_answered(10 * MINUTE_MS, digest(1)));
     assert!(!book.on_answered(10 * MINUTE_MS, digest(1)));
     assert_eq!(
@@ -119,12 +119,15 @@
         QuarantineStatus::Clear
     );
     // What others still tell of before does not bring it back.
-    book.on_told(10 * MINUTE_MS, other.told_since(10 * MINUTE_MS, 0).records);
+    book.on_reports(10 * MINUTE_MS, other.told_since(10 * MINUTE_MS, 0).records);
     assert_eq!(
         book.status(10 * MINUTE_MS, &digest(1)),
         QuarantineStatus::Clear
     );
-    other.on_told(10 * MINUTE_MS, book.told_since(10 * MINUTE_MS, 0).records);
+    other.on_told(
+        10 * MINUTE_MS,
+        book.reports_since(10 * MINUTE_MS, 0).records,
+    );
     assert_eq!(
         other.status(10 * MINUTE_MS, &digest(1)),
         QuarantineStatus::Clear
@@ -134,12 +137,12 @@
 #[test]
 fn a_server_that_runs_on_is_no_end() {
     let mut book = book(&["i-1", "i-2", "i-3"]);
-    assert!(book.on_running(digest(1), &BackendName::new("i-2")));
+    assert!(book.on_still_running(digest(1), &BackendName::new("i-2")));
     assert_eq!(
         book.status(0, &digest(1)),
         QuarantineStatus::Suspect { ends: 2 }
     );
-    assert!(!book.on_running(digest(1), &BackendName::new("i-9")));
+    assert!(!book.on_still_running(digest(1), &BackendName::new("i-9")));
 }
 
 /// A request that is sent all the time is at each server that ends.
@@ -147,9 +150,9 @@
 fn a_request_that_is_answered_all_the_time_is_not_to_blame() {
     let mut book = CrashTracker::new(SETTINGS);
     book.on_answered(1_000, digest(1));
-    assert!(!book.on_end(5_000, end(1, "i-1")));
+    assert!(!book.on_crash(5_000, end(1, "i-1")));
     assert_eq!(book.status(5_000, &digest(1)), QuarantineStatus::Clear);
-    assert!(book.on_end(12_000, end(1, "i-2")));
+    assert!(book.on_crash(12_000, end(1, "i-2")));
 }
 
 #[test]
@@ -171,7 +174,7 @@
 fn many_distinct_ones_push_out_each_other_and_no_quarantined_one() {
     let mut book = book(&["i-1", "i-2", "i-3"]);
     for number in 10..10_000 {
-        assert!(book.on_end(number, end(number, &format!("i-{number}"))));
+        assert!(book.on_crash(number, end(number, &format!("i-{number}"))));
         assert!(book.len() <= SETTINGS.max_requests);
     }
     assert!(matches!(
@@ -185,21 +188,21 @@
 fn what_is_told_is_bounded_and_complete() {
     let mut book = CrashTracker::new(SETTINGS);
     for number in 0..50 {
-        book.on_end(0, end(number, "i-1"));
-        book.on_end(0, end(number, "i-2"));
+        book.on_crash(0, end(number, "i-1"));
+        book.on_crash(0, end(number, "i-2"));
     }
     let mut follower = CrashTracker::new(SETTINGS);
     let mut known = 0;
     let mut messages = 0;
     while known < book.revision() {
-        let told = book.told_since(0, known);
+        let told = book.reports_since(0, known);
         assert!(told.records.len() <= SETTINGS.told_at_once);
         follower.on_told(0, told.records);
         known = told.revision;
         messages += 1;
     }
     assert_eq!((follower.len(), messages), (50, 13));
-    assert!(book.told_since(0, known).records.is_empty());
+    assert!(book.reports_since(0, known).records.is_empty());
 }
 
 /// Many servers that crash together leave a suspect for each request that they ran: where
@@ -208,14 +211,14 @@
 fn single_ends_are_not_told_where_there_are_many() {
     let mut book = CrashTracker::new(SETTINGS);
     for number in 0..8 {
-        book.on_end(0, end(number, "i-1"));
+        book.on_crash(0, end(number, "i-1"));
     }
-    assert_eq!(book.told_since(0, 0).records.len(), 8);
+    assert_eq!(book.reports_since(0, 0).records.len(), 8);
     for number in 8..90 {
-        book.on_end(0, end(number, "i-1"));
+        book.on_crash(0, end(number, "i-1"));
     }
-    book.on_end(0, end(3, "i-2"));
-    let told = book.told_since(0, 0);
+    book.on_crash(0, end(3, "i-2"));
+    let told = book.reports_since(0, 0);
     assert!(told.records.iter().all(|record| record.digest == digest(3)));
     assert_eq!((told.records.len(), told.revision), (2, book.revision()));
 }
@@ -223,14 +226,14 @@
 #[test]
 fn only_quarantined_requests_are_kept_outside_and_until_they_are_cleared() {
     let mut book = book(&["i-1", "i-2"]);
-    assert!(book.to_keep().is_empty());
-    book.on_end(0, end(1, "i-3"));
-    let to_keep = book.to_keep();
+    assert!(book.unpersisted().is_empty());
+    book.on_crash(0, end(1, "i-3"));
+    let to_keep = book.unpersisted();
     let kept = to_keep.clone();
     assert_eq!(to_keep.len(), 1);
     assert_eq!(to_keep[0].ends.len(), 3);
-    book.on_kept(&to_keep[0]);
-    assert!(book.to_keep().is_empty());
+    book.on_persisted(&to_keep[0]);
+    assert!(book.unpersisted().is_empty());
     // One that starts when all are lost.
     let mut next = CrashTracker::new(SETTINGS);
     next.on_stored(0, to_keep);
@@ -247,8 +250,8 @@
     assert!(removed[0].ends.is_empty());
     next.on_kept(&removed[0]);
     assert!(next.to_keep().is_empty());
-    book.forget_old(60 * MINUTE_MS);
-    assert!(book.to_keep()[0].ends.is_empty());
+    book.forget_expired(60 * MINUTE_MS);
+    assert!(book.unpersisted()[0].ends.is_empty());
 }
 
 #[test]
@@ -257,13 +260,13 @@
     let first = permits.take(0, digest(1), 1, 1_000).unwrap();
     assert_eq!(permits.take(400, digest(1), 1, 1_000), Err(600));
     assert!(permits.take(400, digest(2), 1, 1_000).is_ok());
-    permits.give_back(&digest(1), first);
+    permits.release(&digest(1), first);
     let second = permits.take(500, digest(1), 1, 1_000).unwrap();
     // One that has lapsed gives nothing back that is another's.
-    permits.give_back(&digest(1), first);
+    permits.release(&digest(1), first);
     assert!(permits.take(600, digest(1), 1, 1_000).is_err());
     assert!(permits.take(1_500, digest(1), 1, 1_000).is_ok());
-    permits.give_back(&digest(1), second);
+    permits.release(&digest(1), second);
     assert!(permits.take(1_600, digest(1), 1, 1_000).is_err());
 }
 
@@ -303,7 +306,7 @@
     let (second, permit) = place(3, 2);
     assert_eq!(second, Some(1));
     assert_eq!(place(4, 3).0, Some(2));
-    permits.give_back(&digest(3), permit);
+    permits.release(&digest(3), permit);
     let again = permits.take(0, digest(5), 2, 1_000).unwrap();
     assert_eq!(again.place, Some(1));
 }
@@ -437,12 +440,12 @@
             if event.is_answer {
                 books[event.at].on_answered(now_ms, digest(event.request));
             } else {
-                books[event.at].on_end(now_ms, end(event.request, &server));
+                books[event.at].on_crash(now_ms, end(event.request, &server));
             }
             if let Some((from, to)) = told.next() {
                 let (from, to) = (usize::from(from) % 3, usize::from(to) % 3);
                 let records = books[from].own(now_ms);
-                books[to].on_told(now_ms, records);
+                books[to].on_reports(now_ms, records);
             }
         }
         for _ in 0..2 {
@@ -450,8 +453,8 @@
                 for to in 0..3 {
                     let mut known = 0;
                     while known < books[from].revision() {
-                        let part = books[from].told_since(now_ms, known);
-                        books[to].on_told(now_ms, part.records);
+                        let part = books[from].reports_since(now_ms, known);
+                        books[to].on_reports(now_ms, part.records);
                         known = part.revision;
                     }
                 }
--- a/crates/core/tests/stages_world/mod.rs
+++ b/crates/core/tests/stages_world/mod.rs
@@ -364,7 +364,7 @@
                 age_ms: 0,
                 is_withdrawn: false,
             };
-            self.book.on_end(now_ms, record);
+            self.book.on_crash(now_ms, record);
         }
         if let Some(index) = self.servers.iter().position(|s| s.id == call.server) {
             let run = format!("{}+", call.server);
--- a/crates/server/src/crashes.rs
+++ b/crates/server/src/crashes.rs
@@ -47,7 +47,7 @@
 
     /// Forgets requests whose time has come.
     pub(crate) fn forget_old(&self, now_ms: u64) {
-        self.book().forget_old(now_ms);
+        self.book().forget_expired(now_ms);
     }
 
     /// Returns what is to be written to the log now.
@@ -57,7 +57,7 @@
 
     /// Notes that a request is on the log.
     pub(crate) fn on_kept(&self, kept: &StoredCrashes) {
-        self.book().on_kept(kept);
+        self.book().on_persisted(kept);
     }
 
     fn book(&self) -> MutexGuard<'_, CrashTracker> {
@@ -130,7 +130,7 @@
     };
     let now_ms = shared.clock.now_ms();
     let others = shared.fleet().in_flight(lost.backend).saturating_sub(1);
-    let counts = shared.ends.book().on_end(now_ms, record.clone());
+    let counts = shared.ends.book().on_crash(now_ms, record.clone());
     let ends = shared.ends.book().ends(now_ms, &lost.digest);
     warn!(shared.log, "server crashed under request"; "request" => %lost.request,
         "digest" => %lost.digest, "server" => %lost.backend, "others" => others,
@@ -158,7 +158,7 @@
 /// Takes over what a neighbour tells, and tells it on where it is new.
 pub(crate) fn on_told(shared: &Shared, records: Vec<CrashReport>) {
     let now_ms = shared.clock.now_ms();
-    let has_changed = shared.ends.book().on_told(now_ms, records.clone());
+    let has_changed = shared.ends.book().on_reports(now_ms, records.clone());
     if has_changed {
         info!(shared.log, "crashes advertised"; "ends" => records.len(), "source" => "peer");
         shared.members.peers().send_all(&Message::Ends(records));
@@ -170,7 +170,7 @@
     let now_ms = shared.clock.now_ms();
     let known = shared.ends.book().revision();
     for change in changes {
-        shared.ends.book().on_logged(now_ms, change);
+        shared.ends.book().on_log_change(now_ms, change);
     }
     tell_since(shared, known, |message| {
         shared.members.peers().send_all(&message);
@@ -187,9 +187,9 @@
 /// Tells what has changed since the revision `known`, in messages of bounded length.
 fn tell_since(shared: &Shared, mut known: u64, send: impl Fn(Message)) {
     let now_ms = shared.clock.now_ms();
-    shared.ends.book().forget_old(now_ms);
+    shared.ends.book().forget_expired(now_ms);
     while known < shared.ends.book().revision() {
-        let told = shared.ends.book().told_since(now_ms, known);
+        let told = shared.ends.book().reports_since(now_ms, known);
         known = told.revision;
         if !told.records.is_empty() {
             send(Message::Ends(told.records));
--- a/crates/server/src/gateway/keeping.rs
+++ b/crates/server/src/gateway/keeping.rs
@@ -67,7 +67,7 @@
             // Whichever comes first, it is time to look.
             let _ = time::timeout(look, changed).await;
             time::sleep(GATHER_TIME).await;
-            self.quarantine.book().forget_old(self.clock.now_ms());
+            self.quarantine.book().forget_expired(self.clock.now_ms());
             if self.members.reader() != StoreRole::Scheduler {
                 // Another one writes meanwhile.
                 has_read = false;
@@ -121,13 +121,13 @@
         }
         info!(self.log, "quarantine read"; "requests" => stored.len());
         let now_ms = self.clock.now_ms();
-        self.quarantine.book().on_stored(now_ms, stored);
+        self.quarantine.book().on_loaded(now_ms, stored);
         true
     }
 
     /// Writes what is not kept yet; tells whether all of it is.
     async fn write_all(&self) -> bool {
-        let to_keep = self.quarantine.book().to_keep();
+        let to_keep = self.quarantine.book().unpersisted();
         for stored in to_keep {
             if let Err(err) = self.write(&stored).await {
                 warn!(self.log, "quarantine not kept"; "digest" => %stored.digest,
@@ -136,7 +136,7 @@
             }
             info!(self.log, "quarantine kept"; "digest" => %stored.digest,
                 "ends" => stored.ends.len());
-            self.quarantine.book().on_kept(&stored);
+            self.quarantine.book().on_persisted(&stored);
         }
         true
     }
--- a/crates/server/src/gateway/quarantine.rs
+++ b/crates/server/src/gateway/quarantine.rs
@@ -79,7 +79,7 @@
     fn drop(&mut self) {
         let (quarantine, digest, permit) = (&self.quarantine, self.digest, self.permit);
         let Some(giver) = self.giver.take() else {
-            return quarantine.permits().give_back(&digest, permit);
+            return quarantine.permits().release(&digest, permit);
         };
         let quarantine = Arc::clone(quarantine);
         let message = Message::PermitReturn(PermitReturn { digest, permit });
@@ -147,7 +147,7 @@
     pub(super) fn on_end(&self, record: CrashReport) -> u32 {
         let now_ms = self.clock.now_ms();
         let digest = record.digest;
-        let counts = self.book().on_end(now_ms, record.clone());
+        let counts = self.book().on_crash(now_ms, record.clone());
         if !counts {
             return 0;
         }
@@ -168,7 +168,7 @@
 
     /// Notes that a server runs on that had been taken for ended.
     pub(super) fn on_running(self: &Arc<Self>, digest: RequestDigest, server: &BackendName) {
-        let was_ended = self.book().on_running(digest, server);
+        let was_ended = self.book().on_still_running(digest, server);
         if was_ended {
             info!(self.log, "suspect cleared"; "digest" => %digest, "server" => %server,
                 "reason" => "server runs on");
@@ -252,7 +252,7 @@
 
     /// Takes a permit back that this instance gave out.
     pub(super) fn on_returned(&self, returned: PermitReturn) {
-        self.permits().give_back(&returned.digest, returned.permit);
+        self.permits().release(&returned.digest, returned.permit);
     }
 
     /// Tells the instance that schedules what this one saw and has not told.
@@ -288,7 +288,7 @@
         let untold = std::mem::take(&mut *self.unreported());
         let records = match known {
             Some(_) => untold.clone(),
-            None => self.book().own(self.clock.now_ms()),
+            None => self.book().own_reports(self.clock.now_ms()),
         };
         let question = Message::CrashQuery(CrashQuery { known, records });
         let peers = self.members.peers();
@@ -322,7 +322,7 @@
         let known = question.known;
         let known = known.filter(|known| known.incarnation == self.incarnation);
         let revision = known.map_or(0, |known| known.revision);
-        let told = self.book().told_since(self.clock.now_ms(), revision);
+        let told = self.book().reports_since(self.clock.now_ms(), revision);
         let known = KnownCrashes {
             incarnation: self.incarnation,
             revision: told.revision,
@@ -337,7 +337,7 @@
         }
         let count = records.len();
         let now_ms = self.clock.now_ms();
-        let has_changed = self.book().on_told(now_ms, records);
+        let has_changed = self.book().on_reports(now_ms, records);
         if has_changed {
             info!(self.log, "crashes advertised"; "ends" => count, "source" => source,
                 "revision" => self.book().revision());
