--- a/crates/core/tests/fate/mod.rs
+++ b/crates/core/tests/append_outcome/mod.rs
@@ -2,7 +2,7 @@
 
 /// What becomes of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum AppendOutcome {
     Appended,
     AnswerLost,
     NeverArrived,
--- a/crates/core/tests/claims_world/mod.rs
+++ b/crates/core/tests/claims_world/mod.rs
@@ -1,7 +1,7 @@
 //! A few instances over one log that loses answers, delays appends and trims.
 
-#[path = "../fate/mod.rs"]
-mod fate;
+#[path = "../append_outcome/mod.rs"]
+mod append_outcome;
 
 use std::collections::HashMap;
 
@@ -16,7 +16,7 @@
     progress::{CallKind, Retraction},
 };
 
-pub use fate::Fate;
+pub use append_outcome::AppendOutcome;
 
 pub const WINDOW_MS: u64 = 10_000;
 pub const INSTANCES: usize = 3;
@@ -58,7 +58,7 @@
     },
     Append {
         at: usize,
-        fate: Fate,
+        fate: AppendOutcome,
     },
     Arrive {
         which: usize,
@@ -110,13 +110,13 @@
         let at = usize::arbitrary(g) % INSTANCES;
         let which = usize::arbitrary(g) % 2;
         let fates = [
-            Fate::Appended,
-            Fate::Appended,
-            Fate::Appended,
-            Fate::AnswerLost,
-            Fate::NeverArrived,
-            Fate::ArrivesLater,
-            Fate::DoneTwice,
+            AppendOutcome::Appended,
+            AppendOutcome::Appended,
+            AppendOutcome::Appended,
+            AppendOutcome::AnswerLost,
+            AppendOutcome::NeverArrived,
+            AppendOutcome::ArrivesLater,
+            AppendOutcome::DoneTwice,
         ];
         let fate = *g.choose(&fates).expect("fates");
         let causes = [Retraction::NotWritten, Retraction::Refused];
@@ -302,22 +302,22 @@
         }
     }
 
-    pub fn append(&mut self, at: usize, fate: Fate) {
+    pub fn append(&mut self, at: usize, fate: AppendOutcome) {
         let now = self.clock(at);
         let claimant = &mut self.instances[at].claimant;
         let Some(batch) = claimant.poll_append(now).cloned() else {
             return;
         };
         let result = match fate {
-            Fate::Appended => AppendResult::Appended,
+            AppendOutcome::Appended => AppendResult::Appended,
             _ => AppendResult::NotConfirmed,
         };
         claimant.on_append_result(result);
         match fate {
-            Fate::Appended | Fate::AnswerLost => self.store(Some(batch)),
-            Fate::NeverArrived => {}
-            Fate::ArrivesLater => self.late.push(batch),
-            Fate::DoneTwice => {
+            AppendOutcome::Appended | AppendOutcome::AnswerLost => self.store(Some(batch)),
+            AppendOutcome::NeverArrived => {}
+            AppendOutcome::ArrivesLater => self.late.push(batch),
+            AppendOutcome::DoneTwice => {
                 self.late.push(batch.clone());
                 self.store(Some(batch));
             }
@@ -491,7 +491,7 @@
             }
             for at in 0..INSTANCES {
                 self.now_ms += 200;
-                self.append(at, Fate::Appended);
+                self.append(at, AppendOutcome::Appended);
                 self.read(at, usize::MAX);
             }
         }
--- a/crates/core/tests/execution_interleavings.rs
+++ b/crates/core/tests/execution_interleavings.rs
@@ -16,7 +16,7 @@
 
 /// How far a call may be known to have come.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum AppendOutcome {
     MayRun,
     NeverRan { reached_socket: bool },
 }
@@ -24,7 +24,7 @@
 struct Trial {
     driver: Driver,
     now_ms: u64,
-    fates: HashMap<u64, Fate>,
+    fates: HashMap<u64, AppendOutcome>,
     checked_sends: usize,
     past: Vec<Event>,
 }
@@ -72,12 +72,12 @@
             let doubled = sends.iter().any(|(_, earlier)| {
                 earlier.id.stage == call.id.stage
                     && earlier.id.attempt < call.id.attempt
-                    && self.fates.get(&earlier.id.attempt) == Some(&Fate::MayRun)
+                    && self.fates.get(&earlier.id.attempt) == Some(&AppendOutcome::MayRun)
             });
             if doubled && call.id.stage.as_str() == "pay" {
                 return Err(format!("doubled: {:?}", call.id));
             }
-            self.fates.insert(call.id.attempt, Fate::MayRun);
+            self.fates.insert(call.id.attempt, AppendOutcome::MayRun);
             self.check_previous(call)?;
         }
         self.checked_sends = sends.len();
@@ -134,11 +134,11 @@
             Event::Lost { attempt: lost } => *lost == attempt,
             _ => false,
         });
-        if has_answered || self.fates[&attempt] != Fate::MayRun {
+        if has_answered || self.fates[&attempt] != AppendOutcome::MayRun {
             return Event::Timer;
         }
         self.fates
-            .insert(attempt, Fate::NeverRan { reached_socket });
+            .insert(attempt, AppendOutcome::NeverRan { reached_socket });
         let reason = RefusalReason::Full;
         if reached_socket {
             Event::Refused {
@@ -178,11 +178,11 @@
         let completion = self.driver.completion().expect("it ended");
         let sends = self.driver.sends();
         let pay_may_run = sends.iter().any(|(_, call)| {
-            call.id.stage.as_str() == "pay" && self.fates[&call.id.attempt] == Fate::MayRun
+            call.id.stage.as_str() == "pay" && self.fates[&call.id.attempt] == AppendOutcome::MayRun
         });
         let nothing_reached = self.fates.values().all(|fate| {
             *fate
-                == Fate::NeverRan {
+                == AppendOutcome::NeverRan {
                     reached_socket: false,
                 }
         });
--- a/crates/core/tests/placer_election.rs
+++ b/crates/core/tests/placer_election.rs
@@ -2,7 +2,7 @@
 
 mod placer_world;
 
-use placer_world::{Fate, INSTANCES, Op, World, seeded};
+use placer_world::{AppendOutcome, INSTANCES, Op, World, seeded};
 use savoryvane_core::{
     ids::{Incarnation, Offset},
     objects::Fencing,
@@ -48,7 +48,11 @@
 
 #[test]
 fn of_racing_claims_one_wins_and_its_lost_answer_does_not_matter() {
-    for fate in [Fate::Appended, Fate::AnswerLost, Fate::DoneTwice] {
+    for fate in [
+        AppendOutcome::Appended,
+        AppendOutcome::AnswerLost,
+        AppendOutcome::DoneTwice,
+    ] {
         let mut world = World::new();
         for at in 0..INSTANCES {
             world.read(at, usize::MAX);
@@ -98,7 +102,7 @@
     for _ in 0..50 {
         world.pass(2_000);
         for at in 0..INSTANCES {
-            world.append(at, Fate::NeverArrived);
+            world.append(at, AppendOutcome::NeverArrived);
             world.apply(Op::ReadFails { at });
             world.event(at, Event::Tick);
         }
@@ -220,14 +224,14 @@
     let old = world.placers()[0];
     world.pass(10_000);
     world.event(old, Event::Tick);
-    world.append(old, Fate::Appended);
+    world.append(old, AppendOutcome::Appended);
     let others: Vec<_> = (0..INSTANCES).filter(|at| *at != old).collect();
     for _ in 0..40 {
         world.pass(1_000);
         for at in &others {
             world.read(*at, usize::MAX);
             world.event(*at, Event::Tick);
-            world.append(*at, Fate::Appended);
+            world.append(*at, AppendOutcome::Appended);
         }
     }
     let new = world.placers();
--- a/crates/core/tests/placer_world/mod.rs
+++ b/crates/core/tests/placer_world/mod.rs
@@ -2,8 +2,8 @@
 //! clocks that drift and instances that freeze.
 #![allow(dead_code)] // each test file uses a part
 
-#[path = "../fate/mod.rs"]
-mod fate;
+#[path = "../append_outcome/mod.rs"]
+mod append_outcome;
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use savoryvane_core::{
@@ -12,7 +12,7 @@
     placer::{Action, Event, Placer, PlacerRecord, PlacerSettings, Received, Standing},
 };
 
-pub use fate::Fate;
+pub use append_outcome::AppendOutcome;
 
 pub const INSTANCES: usize = 3;
 const SEED: u64 = 0x5eed;
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Op {
     Pass { ms: u64 },
-    Append { at: usize, fate: Fate },
+    Append { at: usize, fate: AppendOutcome },
     Arrive,
     Read { at: usize, most: usize },
     ReadFails { at: usize },
@@ -46,11 +46,11 @@
         let at = usize::arbitrary(g) % INSTANCES;
         let ms = *g.choose(&PASSES_MS).unwrap();
         let fates = [
-            Fate::Appended,
-            Fate::AnswerLost,
-            Fate::NeverArrived,
-            Fate::ArrivesLater,
-            Fate::DoneTwice,
+            AppendOutcome::Appended,
+            AppendOutcome::AnswerLost,
+            AppendOutcome::NeverArrived,
+            AppendOutcome::ArrivesLater,
+            AppendOutcome::DoneTwice,
         ];
         let fate = *g.choose(&fates).unwrap();
         let most = usize::arbitrary(g) % 4;
@@ -191,7 +191,7 @@
         while self.now_ms < end_ms {
             self.now_ms += STEP_MS;
             for at in 0..INSTANCES {
-                self.append(at, Fate::Appended);
+                self.append(at, AppendOutcome::Appended);
                 self.read(at, usize::MAX);
                 self.event(at, Event::Tick);
             }
@@ -199,7 +199,7 @@
         }
     }
 
-    pub fn append(&mut self, at: usize, fate: Fate) {
+    pub fn append(&mut self, at: usize, fate: AppendOutcome) {
         if self.nodes[at].is_frozen {
             return;
         }
@@ -207,10 +207,10 @@
             return;
         };
         match fate {
-            Fate::Appended | Fate::AnswerLost => self.log.push(record),
-            Fate::NeverArrived => {}
-            Fate::ArrivesLater => self.late.push(record),
-            Fate::DoneTwice => {
+            AppendOutcome::Appended | AppendOutcome::AnswerLost => self.log.push(record),
+            AppendOutcome::NeverArrived => {}
+            AppendOutcome::ArrivesLater => self.late.push(record),
+            AppendOutcome::DoneTwice => {
                 self.log.push(record.clone());
                 self.log.push(record);
             }
