--- a/crates/core/src/poison/evidence.rs
+++ b/crates/core/src/poison/evidence.rs
@@ -99,7 +99,7 @@
 }
 
 /// Chooses up to `most` of the servers that could be tried beside one, spread over all.
-pub fn spread<T>(servers: impl IntoIterator<Item = T>, most: usize) -> Vec<T> {
+pub fn sample_evenly<T>(servers: impl IntoIterator<Item = T>, most: usize) -> Vec<T> {
     let servers: Vec<T> = servers.into_iter().collect();
     let step = servers.len().div_ceil(most.max(1)).max(1);
     servers.into_iter().step_by(step).collect()
--- a/crates/core/tests/forwarding_backoff.rs
+++ b/crates/core/tests/forwarding_backoff.rs
@@ -64,7 +64,7 @@
         is_repeatable: true,
         prompt: Some(&prompt),
         inputs: &[],
-        apart,
+        isolation_index,
     };
     fleet.choose(now_ms, &placement).server
 }
--- a/crates/core/tests/poison_tracker.rs
+++ b/crates/core/tests/poison_tracker.rs
@@ -75,7 +75,7 @@
 
 #[test]
 fn three_servers_make_a_suspect_a_quarantined_one() {
-    assert_eq!(book(&[]).standing(0, &digest(1)), QuarantineStatus::Clear);
+    assert_eq!(book(&[]).status(0, &digest(1)), QuarantineStatus::Clear);
     let two = book(&["i-1", "i-2", "i-2"]);
     assert_eq!(
         two.status(0, &digest(1)),
@@ -95,7 +95,7 @@
     let mut book = book(&["i-1", "i-2", "i-3"]);
     let trial_ms = 10 * MINUTE_MS;
     assert_eq!(
-        book.standing(trial_ms, &digest(1)),
+        book.status(trial_ms, &digest(1)),
         QuarantineStatus::Suspect { ends: 3 }
     );
     assert!(book.on_crash(trial_ms, end(1, "i-4")));
@@ -103,7 +103,7 @@
         ends: 4,
         retry_after_ms: 20 * MINUTE_MS,
     };
-    assert_eq!(book.standing(trial_ms, &digest(1)), quarantined);
+    assert_eq!(book.status(trial_ms, &digest(1)), quarantined);
 }
 
 /// A trial that is answered ends it.
@@ -111,7 +111,7 @@
 fn an_answer_clears_a_request_for_all() {
     let mut book = book(&["i-1", "i-2", "i-3"]);
     let mut other = CrashTracker::new(SETTINGS);
-    other.on_told(0, book.reports_since(0, 0).records);
+    other.on_reports(0, book.reports_since(0, 0).records);
     assert!(book.on_answered(10 * MINUTE_MS, digest(1)));
     assert!(!book.on_answered(10 * MINUTE_MS, digest(1)));
     assert_eq!(
@@ -119,12 +119,15 @@
         QuarantineStatus::Clear
     );
     // What others still tell of before does not bring it back.
-    book.on_reports(10 * MINUTE_MS, other.told_since(10 * MINUTE_MS, 0).records);
+    book.on_reports(
+        10 * MINUTE_MS,
+        other.reports_since(10 * MINUTE_MS, 0).records,
+    );
     assert_eq!(
         book.status(10 * MINUTE_MS, &digest(1)),
         QuarantineStatus::Clear
     );
-    other.on_told(
+    other.on_reports(
         10 * MINUTE_MS,
         book.reports_since(10 * MINUTE_MS, 0).records,
     );
@@ -158,14 +161,14 @@
 #[test]
 fn suspects_and_quarantined_requests_are_forgotten() {
     let mut suspect = book(&["i-1"]);
-    suspect.forget_old(10 * MINUTE_MS - 1);
+    suspect.forget_expired(10 * MINUTE_MS - 1);
     assert_eq!(suspect.len(), 1);
-    suspect.forget_old(10 * MINUTE_MS);
+    suspect.forget_expired(10 * MINUTE_MS);
     assert!(suspect.is_empty());
     let mut quarantined = book(&["i-1", "i-2", "i-3"]);
-    quarantined.forget_old(19 * MINUTE_MS);
+    quarantined.forget_expired(19 * MINUTE_MS);
     assert_eq!(quarantined.len(), 1);
-    quarantined.forget_old(20 * MINUTE_MS);
+    quarantined.forget_expired(20 * MINUTE_MS);
     assert!(quarantined.is_empty());
 }
 
@@ -197,7 +200,7 @@
     while known < book.revision() {
         let told = book.reports_since(0, known);
         assert!(told.records.len() <= SETTINGS.told_at_once);
-        follower.on_told(0, told.records);
+        follower.on_reports(0, told.records);
         known = told.revision;
         messages += 1;
     }
@@ -236,20 +239,20 @@
     assert!(book.unpersisted().is_empty());
     // One that starts when all are lost.
     let mut next = CrashTracker::new(SETTINGS);
-    next.on_stored(0, to_keep);
+    next.on_loaded(0, to_keep);
     assert_eq!(next.ends(0, &digest(1)), 3);
-    assert!(next.to_keep().is_empty());
+    assert!(next.unpersisted().is_empty());
     // One that takes over and knows of a trial that is not kept yet.
     let mut later = CrashTracker::new(SETTINGS);
-    later.on_end(0, end(1, "i-4"));
-    later.on_stored(0, kept);
-    assert_eq!(later.to_keep()[0].ends.len(), 4);
+    later.on_crash(0, end(1, "i-4"));
+    later.on_loaded(0, kept);
+    assert_eq!(later.unpersisted()[0].ends.len(), 4);
     next.on_answered(0, digest(1));
-    let removed = next.to_keep();
+    let removed = next.unpersisted();
     assert_eq!(removed.len(), 1);
     assert!(removed[0].ends.is_empty());
-    next.on_kept(&removed[0]);
-    assert!(next.to_keep().is_empty());
+    next.on_persisted(&removed[0]);
+    assert!(next.unpersisted().is_empty());
     book.forget_expired(60 * MINUTE_MS);
     assert!(book.unpersisted()[0].ends.is_empty());
 }
@@ -444,7 +447,7 @@
             }
             if let Some((from, to)) = told.next() {
                 let (from, to) = (usize::from(from) % 3, usize::from(to) % 3);
-                let records = books[from].own(now_ms);
+                let records = books[from].own_reports(now_ms);
                 books[to].on_reports(now_ms, records);
             }
         }
