--- a/crates/bench/src/limit_load.rs
+++ b/crates/bench/src/limit_load.rs
@@ -14,7 +14,7 @@
 use rand_pcg::Pcg64Mcg;
 use savoryvane_core::{
     forwarding::{
-        ARRIVAL_MS, GrantPurpose, GrantQuery, GrantState, LimitGrants, MAX_GRANT_CANDIDATES,
+        GrantPurpose, GrantQuery, GrantState, LimitGrants, MAX_ARRIVAL_MS, MAX_GRANT_CANDIDATES,
         NamedLimit, ServerLimits,
     },
     ids::{BackendName, InstanceName, PoolName},
@@ -304,7 +304,7 @@
     /// Tells whether an instance has a part left of what a server takes.
     fn has_part(&self, now_ms: u64, instance: usize, server: usize) -> bool {
         let all = (self.load.limit_per_s * COUNTED_MS as f64 / 1_000.0) as usize;
-        let window_ms = COUNTED_MS + ARRIVAL_MS;
+        let window_ms = COUNTED_MS + MAX_ARRIVAL_MS;
         let (window_ms, most) = match self.way {
             Way::Alone | Way::OnePlace => (window_ms, all.max(1)),
             Way::EqualPart => {
@@ -337,7 +337,7 @@
             return;
         }
         self.sends += 1;
-        let at_ms = now_ms + self.rng.random_range(1..ARRIVAL_MS);
+        let at_ms = now_ms + self.rng.random_range(1..MAX_ARRIVAL_MS);
         let sender = &mut self.instances[instance];
         let told_ms = sender.told_ms.get(&server);
         let is_told = told_ms.is_some_and(|told_ms| told_ms + TOLD_MS <= at_ms);
@@ -372,7 +372,7 @@
             let server = &self.servers[answer.server];
             receiver
                 .limits
-                .on_answer(at_ms, answer.sent_ms, server, answer.named);
+                .on_response(at_ms, answer.sent_ms, server, answer.named);
         }
     }
 
@@ -393,7 +393,9 @@
                 .instances
                 .get_disjoint_mut([scheduler, number])
                 .expect("two instances");
-            let told = asker.limits.own_since(now_ms, asker.told_revision);
+            let told = asker
+                .limits
+                .local_reports_since(now_ms, asker.told_revision);
             let theirs = taker.limits.revision();
             if told.is_empty() && theirs == asker.known_revision {
                 continue;
--- a/crates/core/src/forwarding.rs
+++ b/crates/core/src/forwarding.rs
@@ -25,7 +25,7 @@
 pub(crate) use backoff::return_after_ms;
 pub use backoff::{MAX_BACKOFF_MS, ServerBackoffs};
 pub use budget::{BudgetSettings, RepeatBudgets};
-pub use cold_servers::{ARRIVAL_MS, ColdServers, WINDOW_MS};
+pub use cold_servers::{ColdServers, MAX_ARRIVAL_MS, WINDOW_MS};
 pub use deadlines::RouteDeadlines;
 pub use directory::Directory;
 pub use entry::{DirectoryUpdate, ExpiringServer, ServerEntry, ServerState, SyncPoint};
--- a/crates/core/src/forwarding/cold_servers.rs
+++ b/crates/core/src/forwarding/cold_servers.rs
@@ -20,10 +20,10 @@
 const COUNTED_MS: u64 = 1_000;
 /// Time from the choice of a server to the arrival of a request there, in ms: a connection
 /// is made in this time or not at all.
-pub const ARRIVAL_MS: u64 = 300;
+pub const MAX_ARRIVAL_MS: u64 = 300;
 /// Window in which an instance sends a cold server no more than its part, in ms: whatever
 /// arrives within the counted span was sent within it.
-pub const WINDOW_MS: u64 = COUNTED_MS + ARRIVAL_MS;
+pub const WINDOW_MS: u64 = COUNTED_MS + MAX_ARRIVAL_MS;
 
 /// A cold server as one instance uses it.
 #[derive(Clone, Debug)]
--- a/crates/core/src/forwarding/limits.rs
+++ b/crates/core/src/forwarding/limits.rs
@@ -84,7 +84,7 @@
     ///
     /// Answers come in another order than they were given. So a limit ends or rises only by
     /// the answer to a request that was sent after the server had named it last.
-    pub fn on_answer(
+    pub fn on_response(
         &mut self,
         now_ms: u64,
         sent_at_ms: u64,
@@ -168,7 +168,7 @@
     }
 
     /// Returns what servers have said to this instance since `revision`.
-    pub fn own_since(&self, now_ms: u64, revision: u64) -> Vec<LimitReport> {
+    pub fn local_reports_since(&self, now_ms: u64, revision: u64) -> Vec<LimitReport> {
         self.reports(now_ms, |limited| {
             limited.is_own && limited.revision > revision
         })
--- a/crates/core/tests/forwarding_cold.rs
+++ b/crates/core/tests/forwarding_cold.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use savoryvane_core::{
-    forwarding::{ARRIVAL_MS, ColdServers, ColdStart, Position, ServerEntry, ServerState},
+    forwarding::{ColdServers, ColdStart, MAX_ARRIVAL_MS, Position, ServerEntry, ServerState},
     ids::{BackendName, InstanceName, PoolName, ZoneName},
 };
 
@@ -74,7 +74,7 @@
             .find(|at| view.allows(now_ms, &servers[*at]));
         if let Some(at) = found {
             view.on_sent(now_ms, &servers[at]);
-            arrivals_ms[at].push(now_ms + rng.random_range(0..ARRIVAL_MS));
+            arrivals_ms[at].push(now_ms + rng.random_range(0..MAX_ARRIVAL_MS));
             served += 1;
         }
     }
@@ -196,7 +196,7 @@
                 let at = (usize::from(number) + turn) % names.len();
                 if fleet[at].allows(now_ms, &server) {
                     fleet[at].on_sent(now_ms, &server);
-                    arrivals_ms.push(now_ms + u64::from(delay_ms) % ARRIVAL_MS);
+                    arrivals_ms.push(now_ms + u64::from(delay_ms) % MAX_ARRIVAL_MS);
                 }
             }
         }
--- a/crates/core/tests/forwarding_limits.rs
+++ b/crates/core/tests/forwarding_limits.rs
@@ -101,11 +101,14 @@
 #[test]
 fn a_limit_ends_only_by_an_answer_to_a_later_request() {
     let mut limits = ServerLimits::default();
-    limits.on_answer(100, 50, &server(), NamedLimit::PerSecond(2.0));
+    limits.on_response(100, 50, &server(), NamedLimit::PerSecond(2.0));
     // Sent before the limit was named, and answered after it.
-    assert_eq!(limits.on_answer(200, 90, &server(), NamedLimit::None), None);
+    assert_eq!(
+        limits.on_response(200, 90, &server(), NamedLimit::None),
+        None
+    );
     assert_eq!(limits.limit_per_s(&server()), Some(2.0));
-    let ended = limits.on_answer(300, 150, &server(), NamedLimit::None);
+    let ended = limits.on_response(300, 150, &server(), NamedLimit::None);
     assert_eq!(ended.unwrap().after, None);
     assert_eq!(limits.limit_per_s(&server()), None);
 }
@@ -113,19 +116,19 @@
 #[test]
 fn a_limit_falls_at_once_and_rises_only_by_an_answer_to_a_later_request() {
     let mut limits = ServerLimits::default();
-    limits.on_answer(100, 50, &server(), NamedLimit::PerSecond(2.0));
-    limits.on_answer(110, 60, &server(), NamedLimit::PerSecond(1.0));
-    limits.on_answer(120, 70, &server(), NamedLimit::PerSecond(5.0));
+    limits.on_response(100, 50, &server(), NamedLimit::PerSecond(2.0));
+    limits.on_response(110, 60, &server(), NamedLimit::PerSecond(1.0));
+    limits.on_response(120, 70, &server(), NamedLimit::PerSecond(5.0));
     assert_eq!(limits.limit_per_s(&server()), Some(1.0));
-    limits.on_answer(300, 150, &server(), NamedLimit::PerSecond(5.0));
+    limits.on_response(300, 150, &server(), NamedLimit::PerSecond(5.0));
     assert_eq!(limits.limit_per_s(&server()), Some(5.0));
 }
 
 #[test]
 fn a_limit_that_can_not_be_read_changes_nothing() {
     let mut limits = ServerLimits::default();
-    limits.on_answer(100, 50, &server(), NamedLimit::PerSecond(2.0));
-    limits.on_answer(200, 150, &server(), NamedLimit::Unreadable);
+    limits.on_response(100, 50, &server(), NamedLimit::PerSecond(2.0));
+    limits.on_response(200, 150, &server(), NamedLimit::Unreadable);
     assert_eq!(limits.limit_per_s(&server()), Some(2.0));
 }
 
@@ -140,7 +143,7 @@
 #[test]
 fn a_server_that_is_gone_takes_its_limit_with_it() {
     let mut limits = ServerLimits::default();
-    limits.on_answer(100, 50, &server(), NamedLimit::PerSecond(2.0));
+    limits.on_response(100, 50, &server(), NamedLimit::PerSecond(2.0));
     limits.retain(|_| false);
     assert_eq!((limits.count(), limits.limit_per_s(&server())), (0, None));
 }
@@ -148,7 +151,7 @@
 #[test]
 fn what_others_tell_counts_as_far_as_it_is_newer() {
     let mut limits = ServerLimits::default();
-    limits.on_answer(10_000, 9_000, &server(), NamedLimit::PerSecond(2.0));
+    limits.on_response(10_000, 9_000, &server(), NamedLimit::PerSecond(2.0));
     let report = |limit_per_s, age_ms| LimitReport {
         server: server(),
         limit_per_s,
@@ -162,7 +165,7 @@
     assert_eq!(limits.limit_per_s(&server()), Some(2.0));
     assert_eq!(limits.on_reports(10_600, vec![report(None, 500)]).len(), 1);
     assert_eq!(limits.limit_per_s(&server()), None);
-    assert!(limits.own_since(10_600, 0).is_empty());
+    assert!(limits.local_reports_since(10_600, 0).is_empty());
 }
 
 /// What does not change is not told again.
@@ -170,7 +173,7 @@
 fn a_limit_that_is_named_again_and_again_is_told_once() {
     let mut limits = ServerLimits::default();
     for now_ms in 1..100 {
-        limits.on_answer(
+        limits.on_response(
             now_ms * 100,
             now_ms * 100 - 50,
             &server(),
--- a/crates/server/src/gateway/knowledge.rs
+++ b/crates/server/src/gateway/knowledge.rs
@@ -354,7 +354,9 @@
         let now_ms = self.clock.now_ms();
         let change = {
             let mut fleet = self.fleet();
-            fleet.limits().on_answer(now_ms, sent_at_ms, server, named)
+            fleet
+                .limits()
+                .on_response(now_ms, sent_at_ms, server, named)
         };
         if let Some(change) = change {
             self.note_limit(server, change, "its answer");
--- a/crates/server/src/gateway/limits.rs
+++ b/crates/server/src/gateway/limits.rs
@@ -130,7 +130,10 @@
         let now_ms = self.knowledge.now_ms();
         let mut fleet = self.knowledge.fleet();
         let limits = fleet.limits();
-        (limits.revision(), limits.own_since(now_ms, revision))
+        (
+            limits.revision(),
+            limits.local_reports_since(now_ms, revision),
+        )
     }
 
     /// Takes over the list of instances.
