--- a/crates/core/src/forwarding.rs
+++ b/crates/core/src/forwarding.rs
@@ -1,5 +1,5 @@
-//! Requests that are forwarded to a backend server as their caller sent them:
-//! which route takes them, which server, and what happens after a failure.
+//! Forwards requests to backend servers as their callers sent them: matches a route, chooses
+//! a server and decides what follows a failure.
 
 mod backoff;
 mod budget;
--- a/crates/core/src/forwarding/backoff.rs
+++ b/crates/core/src/forwarding/backoff.rs
@@ -1,8 +1,7 @@
 //! Tracks the backoff that backend servers request from this instance.
 //!
-//! The load that it answers: some servers of a service reject all requests for seconds, and
-//! sessions have their home there. Each request that is sent to one of them is rejected, and
-//! uses up a repeat.
+//! Some servers of a service may reject all requests for seconds while sessions have affinity
+//! to them. Each request that is sent to one of them is rejected and uses up a repeat.
 
 use std::collections::HashMap;
 
@@ -24,7 +23,7 @@
     ends_in_ms + draw % spread_ms
 }
 
-/// Backoffs by the run of the server.
+/// Backoffs by server run.
 #[derive(Debug, Default)]
 pub struct ServerBackoffs {
     /// End of each backoff, in ms.
@@ -32,22 +31,22 @@
 }
 
 impl ServerBackoffs {
-    /// Notes that `server` requests a backoff of `backoff_ms`; returns whether that extends its
-    /// current one. No request shortens it, since answers may arrive out of order.
+    /// Records that `server` requests a backoff of `backoff_ms`; returns whether that extends
+    /// its current one. No request shortens it, since responses may arrive out of order.
     pub fn on_request(&mut self, now_ms: u64, server: &BackendName, backoff_ms: u64) -> bool {
         let until_ms = now_ms + backoff_ms.min(MAX_BACKOFF_MS);
         if until_ms <= now_ms.max(self.until_ms(server)) {
             return false;
         }
         if !self.until_ms.contains_key(server) {
-            self.make_room(now_ms);
+            self.evict_if_full(now_ms);
         }
         self.until_ms.insert(server.clone(), until_ms);
         true
     }
 
     /// Evicts backoffs that have ended, or else the one that ends first.
-    fn make_room(&mut self, now_ms: u64) {
+    fn evict_if_full(&mut self, now_ms: u64) {
         if self.until_ms.len() < MAX_SERVERS {
             return;
         }
--- a/crates/core/src/forwarding/budget.rs
+++ b/crates/core/src/forwarding/budget.rs
@@ -1,26 +1,26 @@
-//! Bounds what is sent again, for each service and over all instances.
+//! Retry budgets: limit the repeats of each service over all instances.
 
 use std::collections::HashMap;
 
 use crate::{fleet::RetryBudget, ids::PoolName};
 
-/// Most repeats that all instances together may send.
+/// Upper bound of the repeats that all instances together may send.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetSettings {
-    /// Repeats for each request of callers to the service.
+    /// Repeats per request of callers to the service.
     pub ratio: f64,
-    /// Repeats beyond that, of all instances together, in one window.
+    /// Repeats of all instances together beyond the ratio, in one window.
     pub slack: f64,
-    /// Instances that there are at least; each takes an equal part of the slack,
-    /// so that none has to ask the others.
+    /// Minimum number of instances; each uses an equal share of the slack, so that they need
+    /// no coordination.
     pub instances: u32,
 }
 
-/// Part of the ratio that is used: the window of the requests that earn a
-/// repeat and that of the repeat itself begin at different times.
+/// Percentage of the ratio that is used, since the window of the requests that earn a repeat
+/// and that of the repeat itself begin at different times.
 const USED_PERCENT: f64 = 80.0;
 
-/// A budget of repeats for each service.
+/// Repeat budgets of one instance by service.
 #[derive(Debug)]
 pub struct RepeatBudgets {
     settings: BudgetSettings,
@@ -30,22 +30,21 @@
 }
 
 impl RepeatBudgets {
-    /// Creates budgets with this instance's part of `settings`.
+    /// Creates budgets with this instance's share of `settings`.
     pub fn new(settings: BudgetSettings) -> Self {
         Self {
             settings,
             earn_percent: (settings.ratio * USED_PERCENT) as u32,
-            burst: part_of_slack(settings, settings.instances),
+            burst: slack_share(settings, settings.instances),
             budgets: HashMap::new(),
         }
     }
 
-    /// Takes a smaller part of the slack where more instances are listed than the
-    /// settings say; those that have gone stay listed, so that the parts never
-    /// add up to more than the whole.
+    /// Reduces the share of the slack if more instances are listed than configured. Instances
+    /// that have left stay listed, so that the shares never add up to more than the slack.
     pub fn on_listed(&mut self, instances: u32) {
         let instances = instances.max(self.settings.instances);
-        self.burst = part_of_slack(self.settings, instances);
+        self.burst = slack_share(self.settings, instances);
         for budget in self.budgets.values_mut() {
             budget.set_burst(self.burst);
         }
@@ -56,7 +55,7 @@
         self.budget(service).on_first_attempt();
     }
 
-    /// Takes one repeat out of the budget of `service`, if there is one.
+    /// Takes one repeat out of the budget of `service`; returns false if none is left.
     pub fn try_spend(&mut self, service: &PoolName) -> bool {
         self.budget(service).try_spend()
     }
@@ -70,6 +69,6 @@
 }
 
 /// Returns the repeats that one of `instances` may send beyond the ratio.
-fn part_of_slack(settings: BudgetSettings, instances: u32) -> u32 {
+fn slack_share(settings: BudgetSettings, instances: u32) -> u32 {
     (settings.slack / f64::from(instances.max(1))) as u32
 }
--- a/crates/core/src/forwarding/directory.rs
+++ b/crates/core/src/forwarding/directory.rs
@@ -206,7 +206,8 @@
         if self.left.contains(&entry.id) {
             entry.state = ServerState::Leaving;
         }
-        let has_changed = is_back || known.is_none_or(|known| !known.says_the_same(&entry));
+        let has_changed =
+            is_back || known.is_none_or(|known| !known.equals_ignoring_position(&entry));
         if let Some(known) = known {
             self.runs.remove(&known.id);
         }
--- a/crates/core/src/forwarding/entry.rs
+++ b/crates/core/src/forwarding/entry.rs
@@ -1,4 +1,4 @@
-//! What backend servers say of themselves, and what directories tell each other.
+//! Entries of the server register and the updates that instances exchange about them.
 
 use std::net::SocketAddr;
 
@@ -7,68 +7,65 @@
 use super::{Cursor, Position};
 use crate::ids::{BackendName, PoolName, ZoneName};
 
-/// What a server says of itself.
+/// State that a server reports in its register entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerState {
-    /// It takes work.
+    /// It accepts requests.
     Ready,
-    /// It is leaving and takes nothing new.
+    /// It is leaving and accepts no new requests.
     Leaving,
 }
 
-/// One run of a backend server.
+/// Register entry of one run of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerEntry {
-    /// Identifier of the run; a restarted server has another one, so that nothing
-    /// that is known of a run is taken for true of the next one.
+    /// Identifier of the run; a restarted server has another one, so that state of one run is
+    /// never applied to the next.
     pub id: BackendName,
-    /// Identifier that the server registers itself under; a restarted server may
-    /// have the same one.
+    /// Identifier that the server registers under; a restarted server may reuse it.
     pub registered_as: BackendName,
-    /// Start of the run by the server's own clock, in ms since the Unix epoch, if it
-    /// says so. It only tells runs apart: clocks jump, so which of two runs is the
-    /// later one is decided by `position`.
+    /// Start of the run by the server's clock, in ms since the Unix epoch, if reported. It only
+    /// distinguishes runs: clocks jump, so `position` decides which of two runs is later.
     pub started_ms: Option<u64>,
-    /// Position in the register of what it says.
+    /// Position of the entry in the register.
     pub position: Position,
     /// Service that it belongs to.
     pub service: PoolName,
-    /// Address that it serves on; another run may have it later.
+    /// Address that it listens on; another run may reuse it later.
     pub addr: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the server.
     pub zone: ZoneName,
-    /// Requests that it works on at the same time.
+    /// Requests that it processes concurrently.
     pub slots: u32,
-    /// What it says of itself.
+    /// Reported state.
     pub state: ServerState,
-    /// Time for which it was still cold when it said so, in ms.
+    /// Remaining time of its cold start when it wrote the entry, in ms.
     pub cold_left_ms: u64,
 }
 
 impl ServerEntry {
-    /// Tells whether `other` is the same run and says the same, at whichever
-    /// position.
-    pub(super) fn says_the_same(&self, other: &Self) -> bool {
-        let moved = Self {
+    /// Tells whether `other` is equal except for its position.
+    pub(super) fn equals_ignoring_position(&self, other: &Self) -> bool {
+        let other_here = Self {
             position: self.position,
             ..other.clone()
         };
-        *self == moved
+        *self == other_here
     }
 }
 
-/// What a directory tells one that has an earlier revision of it.
+/// Update of a directory, relative to an earlier revision of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DirectoryUpdate {
     /// All its servers.
     Whole(Vec<ServerEntry>),
-    /// Those that changed, by what they are registered as: what they say of
-    /// themselves, or none once gone.
+    /// Changed servers by the identifier that they register under: their entry, or none if
+    /// they were removed.
     Changes(Vec<(BackendName, Option<ServerEntry>)>),
 }
 
 impl DirectoryUpdate {
-    /// Iterates over the entries that it has.
+    /// Iterates over the entries of the update.
     pub(super) fn entries(&self) -> impl Iterator<Item = &ServerEntry> {
         let (whole, changes): (&[ServerEntry], &[_]) = match self {
             Self::Whole(listing) => (listing, &[]),
@@ -79,23 +76,23 @@
     }
 }
 
-/// How far one that asks for an update knows the register.
+/// How far the receiver of an update already knows the register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyncPoint {
-    /// It has taken over the directory that it asks at this revision.
+    /// It has merged the sender's directory up to this revision.
     Revision(u64),
-    /// It knows the register up to this cursor, from elsewhere.
+    /// It knows the register up to this cursor from another source.
     Cursor(Cursor),
 }
 
-/// A server whose entry the register lacked after an outage of the store: it is told as
-/// such, since nothing says yet that it runs.
+/// A server whose entry the register lacked after an outage of the store. It is reported
+/// separately, since there is no evidence yet that it still runs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExpiringServer {
-    /// What it is registered as.
+    /// Identifier that it registers under.
     pub registered_as: BackendName,
     /// Position of its last entry.
     pub position: Position,
-    /// Time after which it counts as gone unless it has written itself again, in ms.
+    /// Time until it is removed unless it registers again, in ms.
     pub left_ms: u64,
 }
--- a/crates/core/src/forwarding/fetch_times.rs
+++ b/crates/core/src/forwarding/fetch_times.rs
@@ -1,58 +1,56 @@
-//! How long an engine needs the results of a request's stages.
+//! Estimates how long an engine needs the results of a request's stages.
 //!
-//! The load that it answers: results take the memory of the servers that made
-//! them until they are freed, and where results are large that memory bounds a
-//! burst before the servers' time does. An engine fetches what it needs before it
-//! reads the prompt; results that are kept until its answer begins take room for
-//! as long as the prompt is read, some 300 ms of the 750 ms in all.
+//! Results take up memory of the servers that produced them until they are freed. Where results
+//! are large, this memory limits a burst before the processing capacity does. An engine fetches
+//! its inputs before it processes the prompt; results that are retained until its response
+//! begins take up memory during prompt processing, some 300 ms of the 750 ms in all.
 //!
-//! On days of a deployment with room for 48 large results in all, letting go
-//! early gains 0.018 of the worth (standard error 0.004, 36 days played with and
-//! without it).
+//! In a deployment with memory for 48 large results in total, early release gains 0.018 of the
+//! total value (standard error 0.004, 36 simulated days with and without it).
 
 use std::collections::HashMap;
 
 use crate::ids::PoolName;
 
-/// Shortest time, in ms: results travel at link speed in a few ms; the rest is
-/// the way of the request and a turn of a busy process.
-const SHORTEST_MS: f64 = 40.0;
-/// Longest time, in ms: as good as keeping them until the answer begins.
-const LONGEST_MS: f64 = 2_000.0;
-/// Growth of the time after results were let go too soon: making them again
-/// costs their whole stages.
+/// Shortest retention after a send, in ms: the transfer takes a few ms at link speed; the rest
+/// covers the transit of the request and scheduling delays of a busy process.
+const MIN_RETENTION_MS: f64 = 40.0;
+/// Longest retention after a send, in ms; equivalent to retention until the response begins.
+const MAX_RETENTION_MS: f64 = 2_000.0;
+/// Factor by which the retention grows after a release that was too early, since recomputing
+/// the results takes their whole stages.
 const GROWTH: f64 = 2.0;
-/// Part of the time that each answer takes off which began after its results
-/// were let go: one failure in a hundred is balanced by the others.
+/// Fraction by which the retention shrinks with each response that begins after its results
+/// were released; a hundred of these balance one early release.
 const DECAY: f64 = 0.007;
 
-/// The time after which results are let go, for each service of engines.
+/// Time after a send at which results are released, by service of engines.
 #[derive(Debug, Default)]
 pub struct FetchTimes {
-    by_service: HashMap<PoolName, f64>,
+    retention_ms_by_service: HashMap<PoolName, f64>,
 }
 
 impl FetchTimes {
-    /// Returns the time after a send within which engines of `service` have
-    /// fetched what they need, in ms.
+    /// Returns the time after a send within which engines of `service` usually have fetched
+    /// their inputs, in ms.
     pub fn release_after_ms(&self, service: &PoolName) -> u64 {
-        let time_ms = self.by_service.get(service).copied();
-        time_ms.unwrap_or(SHORTEST_MS) as u64
+        let retention_ms = self.retention_ms_by_service.get(service).copied();
+        retention_ms.unwrap_or(MIN_RETENTION_MS) as u64
     }
 
-    /// Notes an answer that began after its results were let go.
+    /// Records a response that began after its results were released.
     pub fn on_fetched(&mut self, service: &PoolName) {
-        if let Some(time_ms) = self.by_service.get_mut(service) {
-            *time_ms = (*time_ms * (1.0 - DECAY)).max(SHORTEST_MS);
+        if let Some(retention_ms) = self.retention_ms_by_service.get_mut(service) {
+            *retention_ms = (*retention_ms * (1.0 - DECAY)).max(MIN_RETENTION_MS);
         }
     }
 
-    /// Notes that an engine missed results that had been let go.
+    /// Records that an engine requested results that had already been released.
     pub fn on_missed(&mut self, service: &PoolName) {
-        let time_ms = self
-            .by_service
+        let retention_ms = self
+            .retention_ms_by_service
             .entry(service.clone())
-            .or_insert(SHORTEST_MS);
-        *time_ms = (*time_ms * GROWTH).min(LONGEST_MS);
+            .or_insert(MIN_RETENTION_MS);
+        *retention_ms = (*retention_ms * GROWTH).min(MAX_RETENTION_MS);
     }
 }
--- a/crates/core/src/forwarding/grants.rs
+++ b/crates/core/src/forwarding/grants.rs
@@ -1,14 +1,14 @@
 //! Grants requests to rate-limited backend servers.
 //!
-//! The load that this answers: an overloaded server names a limit as low as one request a
-//! second for all instances together. Sessions have their home there, so that up to
-//! hundreds of instances send to it, each of which sees only its own requests. With a fixed
-//! share each, most of the limit stays unused, as few of the instances that hold a share
-//! have a request for just that server.
+//! An overloaded server may announce a limit as low as one request a second for all instances
+//! together. Because of session affinity, up to hundreds of instances send to it, each of which
+//! sees only its own requests. With a fixed share for each instance, most of the limit would
+//! stay unused, as few of the instances have a request for that server.
 //!
 //! So the scheduler grants each send. During a partition there are several schedulers: each
-//! uses the share of the limit that the instances it has seen lately are of all live ones. A
-//! scheduler starts with an empty bucket, since another one may just have granted the same.
+//! grants the fraction of the limit that corresponds to the fraction of live instances that it
+//! has seen lately. A scheduler starts with an empty bucket, since its predecessor may just have
+//! granted the same requests.
 //!
 //! Where all servers of a service are limited, requests are admitted before their stages, at
 //! the rate of all limits together and the most urgent first. Other requests are rejected
@@ -48,20 +48,20 @@
 const MAX_RETRY_AFTER_MS: u64 = 10_000;
 /// Time after which the bucket of an idle server is evicted, in ms.
 const IDLE_MS: u64 = 60_000;
-/// Most buckets of servers or services; grants for further ones are refused.
+/// Most buckets of servers, and of services; grants for further ones are refused.
 const MAX_BUCKETS: usize = 4_096;
 
-/// A request, in thousandths of a request.
+/// One request, in thousandths of a request.
 const ONE_MILLI: u64 = 1_000;
 /// Burst allowance shared by all instances, in thousandths of a request.
 const SPARE_MILLI: f64 = 2_000.0;
 /// Burst allowance as the time in which a limit refills it, in ms.
 const SPARE_MS: f64 = 500.0;
 
-/// What a grant is for.
+/// Purpose of a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GrantPurpose {
-    /// To begin a request's stages; all servers of its service name a limit.
+    /// To begin a request's stages; all servers of its service have a limit.
     Admission,
     /// To send a request.
     Send,
@@ -85,10 +85,10 @@
 pub struct GrantQuery {
     /// Service of the servers.
     pub service: PoolName,
-    /// What it is for.
+    /// Purpose of the grant.
     pub purpose: GrantPurpose,
-    /// Candidates, the best one first, with the limits that the sender knows, in requests per
-    /// second.
+    /// Candidates in order of preference, with the limits that the sender knows, in requests
+    /// per second.
     pub servers: Vec<(BackendName, f64)>,
     /// Rank of the request, 0 being the most urgent.
     pub priority: u8,
@@ -97,9 +97,9 @@
 /// Response to a [`GrantQuery`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GrantState {
-    /// The request may be sent to this server; for an admission, to any.
+    /// The request may be sent to this server; for an admission, to any server.
     Granted(BackendName),
-    /// It may not.
+    /// The request may not be sent now.
     Closed {
         /// Time until a grant for one of the servers may be requested again, in ms.
         retry_in_ms: u64,
@@ -108,51 +108,51 @@
     },
 }
 
-/// When an instance was seen.
+/// When an instance was listed and when it sent its last query.
 #[derive(Clone, Copy, Debug)]
 struct LastSeen {
-    /// When it was listed, in ms.
-    listed_ms: u64,
+    /// Time at which it was listed, in ms.
+    listed_at_ms: u64,
     /// Time of its last query, in ms.
-    seen_ms: Option<u64>,
+    seen_at_ms: Option<u64>,
 }
 
-/// The share of one or several limits that an instance grants.
+/// The share of one limit, or of the sum of several, that an instance grants.
 #[derive(Clone, Copy, Debug)]
-struct Part {
+struct LimitShare {
     flow: Flow,
     /// Largest burst, in thousandths of a request.
     depth_milli: u64,
 }
 
-/// Bucket of one limit.
+/// Token bucket of one limit.
 #[derive(Clone, Copy, Debug)]
-struct IssuedPermits {
+struct GrantBucket {
     bucket: Bucket,
-    last_request_ms: u64,
+    last_query_ms: u64,
 }
 
-/// The admission of one service.
+/// Admission state of one service.
 #[derive(Clone, Copy, Debug)]
 struct Admission {
-    issued: IssuedPermits,
+    issued: GrantBucket,
     /// Return time of the last rejected caller, in ms.
     returns_at_ms: u64,
-    /// Most urgent rank that came, and when, in ms.
+    /// Most urgent recent rank, and the time of its last query, in ms.
     most_urgent: (u8, u64),
 }
 
-/// Grants of one instance.
+/// Issues the grants of one instance.
 #[derive(Debug)]
 pub struct LimitGrants {
     instance: InstanceName,
     last_seen: HashMap<InstanceName, LastSeen>,
-    servers: HashMap<BackendName, IssuedPermits>,
+    servers: HashMap<BackendName, GrantBucket>,
     services: HashMap<PoolName, Admission>,
 }
 
 impl LimitGrants {
-    /// Creates the grants of `instance`, which has seen no other.
+    /// Creates the grants of `instance`, which has seen no other instance.
     pub fn new(instance: InstanceName) -> Self {
         Self {
             instance,
@@ -162,24 +162,24 @@
         }
     }
 
-    /// Takes over the list of instances.
+    /// Replaces the list of instances.
     pub fn set_listed(&mut self, now_ms: u64, instances: &[InstanceName]) {
         let mut before = std::mem::take(&mut self.last_seen);
         let others = instances.iter().filter(|name| **name != self.instance);
         let seen = others.map(|name| {
             let new = LastSeen {
-                listed_ms: now_ms,
-                seen_ms: None,
+                listed_at_ms: now_ms,
+                seen_at_ms: None,
             };
             (name.clone(), before.remove(name).unwrap_or(new))
         });
         self.last_seen = seen.collect();
     }
 
-    /// Notes a query of an instance.
+    /// Records a query of an instance.
     pub fn on_seen(&mut self, now_ms: u64, instance: &InstanceName) {
         if let Some(seen) = self.last_seen.get_mut(instance) {
-            seen.seen_ms = Some(now_ms);
+            seen.seen_at_ms = Some(now_ms);
         }
     }
 
@@ -189,14 +189,16 @@
         let others = self.last_seen.values();
         let living = others
             .clone()
-            .filter(|seen| is_within(seen.seen_ms.unwrap_or(seen.listed_ms), LEFT_MS));
-        let seen =
-            others.filter(|seen| seen.seen_ms.is_some_and(|at| is_within(at, SEEN_WITHIN_MS)));
+            .filter(|seen| is_within(seen.seen_at_ms.unwrap_or(seen.listed_at_ms), LEFT_MS));
+        let seen = others.filter(|seen| {
+            seen.seen_at_ms
+                .is_some_and(|at| is_within(at, SEEN_WITHIN_MS))
+        });
         (seen.count() + 1) as f64 / (living.count() + 1) as f64
     }
 
     /// Returns a grant, or when to retry and the `Retry-After` of the caller. `limit_per_s`
-    /// returns the limit of a server that is known here, none if it has none.
+    /// returns the current limit of a server, given the reported one; none if it has no limit.
     pub fn grant(
         &mut self,
         now_ms: u64,
@@ -204,21 +206,23 @@
         limit_per_s: impl Fn(&BackendName, f64) -> Option<f64>,
     ) -> GrantState {
         let share = self.share(now_ms);
-        let mut parts = Vec::with_capacity(query.servers.len());
+        let mut limit_shares = Vec::with_capacity(query.servers.len());
         for (server, reported_per_s) in &query.servers {
             match limit_per_s(server, *reported_per_s) {
-                Some(limit_per_s) => parts.push((server, Part::of(limit_per_s, share))),
+                Some(limit_per_s) => {
+                    limit_shares.push((server, LimitShare::of(limit_per_s, share)))
+                }
                 None => return GrantState::Granted(server.clone()),
             }
         }
-        let all = Part::sum(parts.iter().map(|(_, part)| *part));
+        let total = LimitShare::sum(limit_shares.iter().map(|(_, limit_share)| *limit_share));
         match (query.purpose, query.servers.first()) {
-            (GrantPurpose::Send, _) => self.grant_send(now_ms, query, &parts, all),
-            (GrantPurpose::Admission, Some((best, _))) if self.admit(now_ms, query, all) => {
+            (GrantPurpose::Send, _) => self.grant_send(now_ms, query, &limit_shares, total),
+            (GrantPurpose::Admission, Some((best, _))) if self.admit(now_ms, query, total) => {
                 GrantState::Granted(best.clone())
             }
             (GrantPurpose::Admission | GrantPurpose::ReturnTime, _) => {
-                self.closed(now_ms, query, all, MIN_RETRY_IN_MS)
+                self.reject(now_ms, query, total, MIN_RETRY_IN_MS)
             }
         }
     }
@@ -227,26 +231,28 @@
         &mut self,
         now_ms: u64,
         query: &GrantQuery,
-        parts: &[(&BackendName, Part)],
-        all: Part,
+        limit_shares: &[(&BackendName, LimitShare)],
+        total: LimitShare,
     ) -> GrantState {
         let mut retry_in_ms = MAX_RETRY_IN_MS;
-        for (server, part) in parts {
+        for (server, limit_share) in limit_shares {
             let Some(issued) = self.issued(now_ms, server) else {
                 continue;
             };
-            issued.bucket.fill_to(now_ms, part.flow, part.depth_milli);
+            issued
+                .bucket
+                .fill_to(now_ms, limit_share.flow, limit_share.depth_milli);
             if issued.bucket.take() {
                 return GrantState::Granted((*server).clone());
             }
-            retry_in_ms = retry_in_ms.min(issued.bucket.wait_ms(part.flow));
+            retry_in_ms = retry_in_ms.min(issued.bucket.wait_ms(limit_share.flow));
         }
-        self.closed(now_ms, query, all, retry_in_ms.max(MIN_RETRY_IN_MS))
+        self.reject(now_ms, query, total, retry_in_ms.max(MIN_RETRY_IN_MS))
     }
 
-    /// Admits a request to a service of which all servers name limits; a less urgent one
-    /// leaves a place to those more urgent.
-    fn admit(&mut self, now_ms: u64, query: &GrantQuery, all: Part) -> bool {
+    /// Admits a request to a service all of whose servers have limits; a less urgent request
+    /// leaves capacity for one more urgent request.
+    fn admit(&mut self, now_ms: u64, query: &GrantQuery, total: LimitShare) -> bool {
         let Some(admission) = self.admission(now_ms, &query.service) else {
             return false;
         };
@@ -256,28 +262,28 @@
             admission.most_urgent = (query.priority, now_ms);
         }
         let bucket = &mut admission.issued.bucket;
-        bucket.fill_to(now_ms, all.flow, all.depth_milli + ONE_MILLI);
+        bucket.fill_to(now_ms, total.flow, total.depth_milli + ONE_MILLI);
         if is_most_urgent {
             return bucket.take();
         }
         let mut after = *bucket;
-        let leaves_a_place = after.take() && after.clone().take();
-        if leaves_a_place {
+        let leaves_capacity = after.take() && after.clone().take();
+        if leaves_capacity {
             *bucket = after;
         }
-        leaves_a_place
+        leaves_capacity
     }
 
     /// Rejects a query; spaces the `Retry-After` of callers at the rate at which the servers
     /// take requests.
-    fn closed(
+    fn reject(
         &mut self,
         now_ms: u64,
         query: &GrantQuery,
-        all: Part,
+        total: LimitShare,
         retry_in_ms: u64,
     ) -> GrantState {
-        let step_ms = (REQUEST_PER_S * 1_000.0 / all.flow.rate.0.max(1) as f64) as u64;
+        let step_ms = (REQUEST_PER_S * 1_000.0 / total.flow.rate.0.max(1) as f64) as u64;
         let (earliest_ms, latest_ms) = (now_ms + MIN_RETRY_AFTER_MS, now_ms + MAX_RETRY_AFTER_MS);
         let returns_at_ms = match self.admission(now_ms, &query.service) {
             None => latest_ms,
@@ -295,45 +301,45 @@
 
     fn admission(&mut self, now_ms: u64, service: &PoolName) -> Option<&mut Admission> {
         let new = Admission {
-            issued: IssuedPermits::new(now_ms),
+            issued: GrantBucket::new(now_ms),
             returns_at_ms: now_ms,
             most_urgent: (u8::MAX, now_ms),
         };
-        let last_request_ms = |admission: &Admission| admission.issued.last_request_ms;
-        let admission = remembered(&mut self.services, now_ms, service, new, last_request_ms)?;
-        admission.issued.last_request_ms = now_ms;
+        let last_query_ms = |admission: &Admission| admission.issued.last_query_ms;
+        let admission = entry_or_insert(&mut self.services, now_ms, service, new, last_query_ms)?;
+        admission.issued.last_query_ms = now_ms;
         Some(admission)
     }
 
-    fn issued(&mut self, now_ms: u64, server: &BackendName) -> Option<&mut IssuedPermits> {
-        let new = IssuedPermits::new(now_ms);
-        let last_request_ms = |issued: &IssuedPermits| issued.last_request_ms;
-        let issued = remembered(&mut self.servers, now_ms, server, new, last_request_ms)?;
-        issued.last_request_ms = now_ms;
+    fn issued(&mut self, now_ms: u64, server: &BackendName) -> Option<&mut GrantBucket> {
+        let new = GrantBucket::new(now_ms);
+        let last_query_ms = |issued: &GrantBucket| issued.last_query_ms;
+        let issued = entry_or_insert(&mut self.servers, now_ms, server, new, last_query_ms)?;
+        issued.last_query_ms = now_ms;
         Some(issued)
     }
 }
 
-impl IssuedPermits {
+impl GrantBucket {
     fn new(now_ms: u64) -> Self {
         Self {
             bucket: Bucket::empty(now_ms),
-            last_request_ms: now_ms,
+            last_query_ms: now_ms,
         }
     }
 }
 
-/// Returns the entry of `key`, or inserts `new`; evicts idle entries where there is no room.
-fn remembered<'a, K: Clone + Eq + Hash, V>(
+/// Returns the entry of `key`, or inserts `new`; evicts idle entries if the map is full.
+fn entry_or_insert<'a, K: Clone + Eq + Hash, V>(
     entries: &'a mut HashMap<K, V>,
     now_ms: u64,
     key: &K,
     new: V,
-    last_request_ms: impl Fn(&V) -> u64,
+    last_query_ms: impl Fn(&V) -> u64,
 ) -> Option<&'a mut V> {
     if !entries.contains_key(key) {
         if entries.len() >= MAX_BUCKETS {
-            entries.retain(|_, entry| last_request_ms(entry) + IDLE_MS > now_ms);
+            entries.retain(|_, entry| last_query_ms(entry) + IDLE_MS > now_ms);
         }
         if entries.len() >= MAX_BUCKETS {
             return None;
@@ -343,21 +349,21 @@
     entries.get_mut(key)
 }
 
-impl Part {
+impl LimitShare {
     fn of(limit_per_s: f64, share: f64) -> Self {
         let limit_per_s = limit_per_s.clamp(MIN_LIMIT_PER_S, MAX_LIMIT_PER_S);
-        let part_per_s = limit_per_s * share;
-        let spare_milli = SPARE_MILLI * share + part_per_s * SPARE_MS;
+        let share_per_s = limit_per_s * share;
+        let spare_milli = SPARE_MILLI * share + share_per_s * SPARE_MS;
         Self {
             flow: Flow {
-                rate: Rate((part_per_s * REQUEST_PER_S) as u64),
+                rate: Rate((share_per_s * REQUEST_PER_S) as u64),
                 safe: Rate(0),
             },
             depth_milli: ONE_MILLI + spare_milli as u64,
         }
     }
 
-    fn sum(parts: impl Iterator<Item = Self>) -> Self {
+    fn sum(limit_shares: impl Iterator<Item = Self>) -> Self {
         let none = Flow {
             rate: Rate(0),
             safe: Rate(0),
@@ -366,9 +372,9 @@
             flow: none,
             depth_milli: 0,
         };
-        for part in parts {
-            sum.flow.rate = sum.flow.rate.plus(part.flow.rate);
-            sum.depth_milli = sum.depth_milli.saturating_add(part.depth_milli);
+        for limit_share in limit_shares {
+            sum.flow.rate = sum.flow.rate.plus(limit_share.flow.rate);
+            sum.depth_milli = sum.depth_milli.saturating_add(limit_share.depth_milli);
         }
         sum
     }
--- a/crates/core/src/forwarding/placement.rs
+++ b/crates/core/src/forwarding/placement.rs
@@ -11,21 +11,19 @@
     objects::Objective,
 };
 
-/// Prompt tokens that an engine reads in a ms where nothing is cached; from
-/// the engines' sheets, which say 57.
-const TOKENS_PER_MS: f64 = 57.0;
-/// What a byte of results from another zone weighs, in µs of engine time: by the
-/// platform's prices, 1.5 MB as much as reading 550 tokens anew.
-const FAR_BYTE_US: f64 = 0.0065;
-/// What one request more at an engine than at the others weighs, in µs: each
-/// slows the tokens of all others there by 3 in 100, and in one of ten cases its
-/// prompt of 50 ms goes first.
-const REQUEST_US: f64 = 6_000.0;
+/// Uncached prompt tokens that an engine processes in a ms, from the engines' data sheets.
+const PROMPT_TOKENS_PER_MS: f64 = 57.0;
+/// Cost of fetching a byte of results from another zone, in µs of engine time: by the
+/// platform's prices, 1.5 MB cost as much as processing 550 prompt tokens.
+const CROSS_ZONE_BYTE_US: f64 = 0.0065;
+/// Cost of one additional running request at an engine, in µs: it slows the token generation of
+/// all others there by 3 per cent, and in one of ten cases its prompt of 50 ms runs first.
+const RUNNING_REQUEST_US: f64 = 6_000.0;
 
 /// Shortest time over which the return of callers is spread after a backoff, in ms.
 const MIN_RETURN_SPREAD_MS: u64 = 100;
 
-/// Most candidates of one grant query, some hundred bytes; enough that one is likely free.
+/// Most candidates of one grant query, a few hundred bytes; enough that one likely has capacity.
 pub const MAX_GRANT_CANDIDATES: usize = 32;
 
 /// One part of a prompt that other prompts may share.
@@ -37,27 +35,27 @@
     pub tokens: u32,
 }
 
-/// A prompt as routing sees it.
+/// The properties of a prompt that routing uses.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Tokens to read.
+    /// Number of input tokens.
     pub input_tokens: u32,
     /// Most tokens to generate.
     pub max_output_tokens: u32,
-    /// Parts in their order, which make up the whole prompt; the last one is
-    /// the request's own, those before it are shared with other requests.
+    /// Parts of the whole prompt in order; the last one belongs to this request only, those
+    /// before it are shared with other requests.
     pub parts: Vec<PromptPart>,
 }
 
 impl Prompt {
-    /// Returns the hash of the part that its session shares: the last one before
-    /// the request's own, or the only one.
+    /// Returns the hash that identifies the session: that of the last shared part, or of the
+    /// only part.
     pub fn session(&self) -> Option<u64> {
         let shared = self.shared().last();
         shared.or(self.parts.last()).map(|part| part.hash)
     }
 
-    /// Returns the tokens that an engine which served the session has cached.
+    /// Returns the tokens that an engine has cached if it served the session before.
     pub fn shared_tokens(&self) -> u32 {
         self.shared().iter().map(|part| part.tokens).sum()
     }
@@ -67,21 +65,22 @@
     }
 }
 
-/// What the choice of a server goes by.
+/// Inputs of the choice of a server.
 #[derive(Clone, Debug)]
 pub struct Placement<'a> {
-    /// Service that the request goes to.
+    /// Service of the request.
     pub service: &'a PoolName,
-    /// Servers that were tried already.
+    /// Servers that were already tried.
     pub tried: &'a [BackendName],
     /// Whether the request may run more than once.
     pub is_repeatable: bool,
-    /// Its prompt, for an engine.
+    /// Prompt of the request, if it goes to an engine.
     pub prompt: Option<&'a Prompt>,
-    /// Results that it needs, by the availability zone where they are, in bytes.
+    /// Sizes of the results that it needs, in bytes, by their availability zone.
     pub inputs: &'a [(ZoneName, u64)],
-    /// Where servers have ended under it, its place among all such that run: it goes to
-    /// the server of this place by load, so that few others are lost with it.
+    /// For a request under which servers have crashed, its index among all such requests that
+    /// are running. It goes to the server at this index in the order of load, so that a crash
+    /// interrupts few other requests.
     pub isolation_index: Option<u32>,
 }
 
@@ -98,14 +97,14 @@
     }
 }
 
-/// A server and why it was chosen.
+/// A chosen server and the reason for the choice.
 #[derive(Clone, Debug)]
 pub struct ServerChoice {
-    /// The server, unless there is none.
+    /// The server, if one is eligible.
     pub server: Option<BackendName>,
-    /// Why.
+    /// Reason for the choice.
     pub reason: DecisionReason,
-    /// Servers that were considered.
+    /// Number of eligible servers.
     pub considered: usize,
 }
 
@@ -113,23 +112,23 @@
     /// Chooses the server of a forwarded request.
     pub fn choose(&mut self, now_ms: u64, placement: &Placement<'_>) -> ServerChoice {
         let query = placement.query();
-        if let Some(place) = placement.isolation_index {
-            return self.choose_isolated(now_ms, &query, place);
+        if let Some(index) = placement.isolation_index {
+            return self.choose_isolated(now_ms, &query, index);
         }
         match placement.prompt {
             Some(prompt) if prompt.session().is_some() => {
                 self.choose_engine(now_ms, &query, prompt, placement.inputs)
             }
-            _ => chosen(self.route(now_ms, &query)),
+            _ => choice_from(self.route(now_ms, &query)),
         }
     }
 
-    /// Chooses the server of the given place in the order of their load.
-    fn choose_isolated(&mut self, now_ms: u64, query: &RouteQuery<'_>, place: u32) -> ServerChoice {
+    /// Chooses the server at `index`, modulo their number, in the order of load.
+    fn choose_isolated(&mut self, now_ms: u64, query: &RouteQuery<'_>, index: u32) -> ServerChoice {
         let mut eligible = self.eligible(now_ms, query);
         let load = |index: &usize| self.load(now_ms, &self.backends[*index]);
         eligible.sort_by(|a, b| load(a).total_cmp(&load(b)));
-        let at = place as usize % eligible.len().max(1);
+        let at = index as usize % eligible.len().max(1);
         let server = eligible.get(at).map(|index| &self.backends[*index].name);
         ServerChoice {
             server: server.cloned(),
@@ -141,9 +140,9 @@
         }
     }
 
-    /// Chooses the engine with the least expected work: sessions have a home
-    /// by rendezvous hash, where their parts are cached; an engine elsewhere
-    /// reads them anew, and results from other zones have to be fetched.
+    /// Chooses the engine with the lowest expected cost. Each session has a home engine by
+    /// rendezvous hash, which has its shared parts cached; any other engine has to process them
+    /// again. Results from other zones have to be fetched.
     fn choose_engine(
         &mut self,
         now_ms: u64,
@@ -159,18 +158,18 @@
             .max_by_key(|index| rendezvous(&self.backends[*index].name, session));
         let score_us = |index: usize| {
             let backend = &self.backends[index];
-            let far_bytes: u64 = inputs
+            let cross_zone_bytes: u64 = inputs
                 .iter()
                 .filter(|(zone, _)| *zone != backend.zone)
                 .map(|(_, bytes)| *bytes)
                 .sum();
-            let anew_us = if Some(index) == home {
+            let prompt_us = if Some(index) == home {
                 0.0
             } else {
-                f64::from(prompt.shared_tokens()) / TOKENS_PER_MS * 1_000.0
+                f64::from(prompt.shared_tokens()) / PROMPT_TOKENS_PER_MS * 1_000.0
             };
-            let load_us = self.load(now_ms, backend) * REQUEST_US;
-            anew_us + far_bytes as f64 * FAR_BYTE_US + load_us
+            let load_us = self.load(now_ms, backend) * RUNNING_REQUEST_US;
+            prompt_us + cross_zone_bytes as f64 * CROSS_ZONE_BYTE_US + load_us
         };
         let best = eligible
             .iter()
@@ -187,9 +186,9 @@
         }
     }
 
-    /// Returns the servers to request a grant for instead of `chosen`, which names a limit, and
-    /// their limits in requests a second: only that one while others need none, unless
-    /// `include_all`.
+    /// Returns the servers to request a grant for in place of the limited server `chosen`, and
+    /// their limits in requests per second: only `chosen` while some servers have no limit,
+    /// unless `include_all`.
     pub fn grant_candidates(
         &self,
         now_ms: u64,
@@ -202,9 +201,9 @@
         let untried = names.filter(|name| !placement.tried.contains(name));
         let limits = untried.map(|name| (name, self.limits.limit_per_s(name)));
         let limits: Vec<(&BackendName, Option<f64>)> = limits.collect();
-        let needs_none = limits.iter().any(|(_, limit)| limit.is_none());
-        let is_wanted = |name: &BackendName| name == chosen || include_all || !needs_none;
-        let limited = limits.into_iter().filter(|(name, _)| is_wanted(name));
+        let any_unlimited = limits.iter().any(|(_, limit)| limit.is_none());
+        let is_candidate = |name: &BackendName| name == chosen || include_all || !any_unlimited;
+        let limited = limits.into_iter().filter(|(name, _)| is_candidate(name));
         let limited = limited.filter_map(|(name, limit)| Some((name.clone(), limit?)));
         let mut limited: Vec<(BackendName, f64)> = limited.collect();
         limited.sort_by_key(|(name, _)| name != chosen);
@@ -212,8 +211,8 @@
         limited
     }
 
-    /// Returns the servers of `service` that take work and their limits in requests a
-    /// second, if all of them name one.
+    /// Returns the servers of `service` that accept requests and their limits in requests per
+    /// second, if all of them are limited.
     pub fn limits_if_all_limited(
         &self,
         now_ms: u64,
@@ -224,16 +223,16 @@
         limits
     }
 
-    /// Returns the `Retry-After` of a request to `service`, in ms, if only backoffs keep its
-    /// servers from taking requests: the end of the first one and a random part of it.
+    /// Returns the `Retry-After` of a request to `service`, in ms, if its servers reject requests
+    /// only because of backoffs: the end of the first backoff plus a random spread.
     pub fn return_after_backoff_ms(&mut self, now_ms: u64, service: &PoolName) -> Option<u64> {
         let ends_in_ms = self.backoff_ends_in_ms(now_ms, &any_request(service))?;
         let draw = self.rng.random();
         Some(return_after_ms(ends_in_ms, MIN_RETURN_SPREAD_MS, draw))
     }
 
-    /// Returns the availability zone of a session's home among the servers of
-    /// `service` that take work.
+    /// Returns the availability zone of a session's home engine among the servers of `service`
+    /// that accept requests.
     pub fn home_zone(&self, now_ms: u64, service: &PoolName, prompt: &Prompt) -> Option<ZoneName> {
         let session = prompt.session()?;
         self.eligible(now_ms, &any_request(service))
@@ -243,12 +242,12 @@
             .map(|backend| backend.zone.clone())
     }
 
-    /// Notes that a request was sent to `server`.
+    /// Records that a request was sent to `server`.
     pub fn on_forwarded(&mut self, now_ms: u64, server: &BackendName) {
         self.on_call_sent(now_ms, server);
     }
 
-    /// Notes a whole answer after `elapsed_us`.
+    /// Records a complete response of `server` after `elapsed_us`.
     pub fn on_answered(&mut self, now_ms: u64, server: &BackendName, elapsed_us: u64) {
         let end = CallEnd::Done {
             elapsed_us,
@@ -258,40 +257,40 @@
         self.on_call_ended(now_ms, server, end);
     }
 
-    /// Notes that `server` had no room for a request.
+    /// Records that `server` rejected a request because it was full.
     pub fn on_full(&mut self, now_ms: u64, server: &BackendName) {
         let end = CallEnd::Refused(crate::call::RefusalReason::Full);
         self.on_call_ended(now_ms, server, end);
     }
 
-    /// Notes that `server` answered badly.
+    /// Records that `server` responded with a failure.
     pub fn on_failing(&mut self, now_ms: u64, server: &BackendName) {
         self.on_call_ended(now_ms, server, CallEnd::Failed(Fault::Failing));
     }
 
-    /// Notes that the connection to `server` broke or went silent.
+    /// Records that the connection to `server` broke or timed out.
     pub fn on_silent(&mut self, now_ms: u64, server: &BackendName) {
         self.on_call_ended(now_ms, server, CallEnd::Failed(Fault::Silent));
     }
 
-    /// Notes that `server` was given up as it stayed silent; its request has been
-    /// noted as abandoned.
+    /// Records that `server` timed out without a response; its request has already been
+    /// recorded as abandoned.
     pub fn on_silence_timeout(&mut self, now_ms: u64, server: &BackendName) {
         self.on_bad_answer(now_ms, server, Fault::Silent);
     }
 
-    /// Notes that no connection to `server` could be made.
+    /// Records that no connection to `server` could be established.
     pub fn on_unreachable(&mut self, now_ms: u64, server: &BackendName) {
         self.on_call_ended(now_ms, server, CallEnd::Failed(Fault::Unreachable));
     }
 
-    /// Notes that a request to `server` was given up.
+    /// Records that a request to `server` was abandoned.
     pub fn on_abandoned(&mut self, now_ms: u64, server: &BackendName) {
         self.on_call_ended(now_ms, server, CallEnd::Abandoned);
     }
 }
 
-fn chosen(routed: Routed) -> ServerChoice {
+fn choice_from(routed: Routed) -> ServerChoice {
     ServerChoice {
         server: routed.choice,
         reason: routed.reason,
@@ -311,7 +310,7 @@
     }
 }
 
-/// Ranks a server for a session; the highest is its home.
+/// Returns the rank of a server for a session; the server with the highest rank is its home.
 fn rendezvous(server: &BackendName, session: u64) -> u64 {
     xxh3_64_with_seed(server.as_str().as_bytes(), session)
 }
--- a/crates/core/src/forwarding/signals.rs
+++ b/crates/core/src/forwarding/signals.rs
@@ -1,22 +1,22 @@
-//! Signals of a backend server about itself, from the head of an answer.
+//! Signals of a backend server about itself, from the headers of a response.
 
 use super::NamedLimit;
 
-/// Signals in one answer about the server that gave it.
+/// Signals in one response about the server that sent it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerSignals {
     /// Whether it is leaving.
     pub departure: Departure,
     /// Backoff that it requests from this instance.
     pub backoff: BackoffRequest,
-    /// Requests a second that it takes from all instances together.
+    /// Rate limit that it announces for all instances together.
     pub limit: NamedLimit,
 }
 
-/// Whether an answer says that its server is leaving.
+/// Whether a response says that its server is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Departure {
-    /// It is not, or the answer does not say.
+    /// It is not, or the response does not say.
     None,
     /// It is leaving.
     Leaving,
@@ -29,7 +29,7 @@
 pub enum BackoffRequest {
     /// It requests none.
     None,
-    /// No requests for this time, in ms.
+    /// It requests no traffic for this time, in ms.
     ForMs(u64),
     /// The value can't be parsed.
     Unreadable,
--- a/crates/core/src/forwarding/steps.rs
+++ b/crates/core/src/forwarding/steps.rs
@@ -1,87 +1,86 @@
-//! What follows a send of a forwarded request: an answer or one more send.
+//! Decides what follows an attempt of a forwarded request: a response or another attempt.
 
-/// How one send ended.
+/// How one attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// Nothing of the request was handed to a socket.
+    /// No byte of the request was written to a socket.
     NotSent,
-    /// Another server has the address, and did not run the request.
+    /// Another server now has the address, and did not run the request.
     Misdirected,
-    /// The server did not run the request, since a result that it needs is gone.
+    /// The server did not run the request, since an input result is no longer available.
     InputsGone,
-    /// The server says that it did not run the request.
+    /// The server reports that it did not run the request.
     NotRun,
-    /// The server ran it and answered with a failure of its own.
+    /// The server ran the request and responded with a failure.
     Failed,
-    /// The answer was lost, broken or not that of the request.
+    /// The response was lost, invalid or belonged to another request.
     Lost,
-    /// The server stayed silent, and a repeat was taken out of the budget.
+    /// The server timed out without a response; a repeat has been taken out of the budget.
     Silent,
 }
 
-/// Whether a request may be sent again after it may have run.
+/// Whether a request may be repeated after it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepeatPolicy {
-    /// It may.
+    /// It may be repeated.
     Allowed,
-    /// It may not.
+    /// It may not be repeated.
     Never,
 }
 
-/// What the caller is told when nothing more is tried.
+/// Response to the caller after the last attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalResponse {
-    /// That it was not run and when to come back.
+    /// The request did not run; with `Retry-After`.
     Refusal,
-    /// The failure that the server answered with.
+    /// The failure with which the server responded.
     ServerFailure,
-    /// That it has no answer, and nothing about whether it ran.
+    /// No response is available; the request may have run.
     NoAnswer,
 }
 
 impl AttemptEnd {
-    /// Tells whether the send uses up one of the servers that a request may be
-    /// sent to: not when it never reached the server that was meant, or came there
-    /// without what it needs.
+    /// Tells whether the attempt counts towards the most servers of a request. It does not if
+    /// it never reached the intended server, or reached it without its inputs.
     pub fn counts(self) -> bool {
         !matches!(self, Self::NotSent | Self::Misdirected | Self::InputsGone)
     }
 }
 
-/// What follows a send.
+/// What follows an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// It is sent to another server.
+    /// The request is sent to another server.
     SendAgain,
-    /// The caller gets an answer.
+    /// The caller gets this response.
     Give(FinalResponse),
 }
 
-/// Decides what follows the end of a send.
+/// Decides what follows the end of an attempt.
 ///
-/// `may_have_run` tells whether any send, this one included, may have run;
-/// `has_room` whether another server, its attempts and the time allow one more
-/// send. For all but those that never left and those that have paid already,
-/// `spend` takes one repeat out of the budget and tells whether there was one.
+/// `may_have_run` says whether any attempt, this one included, may have run; `can_repeat`
+/// whether the time, the attempts and the servers left allow another one. `try_spend` takes a
+/// repeat out of the budget and returns whether one was left; it is not called for requests
+/// that were not sent or that have spent a repeat already.
 pub fn next_step(
     end: AttemptEnd,
-    repeats: RepeatPolicy,
+    policy: RepeatPolicy,
     may_have_run: bool,
-    has_room: bool,
-    spend: impl FnOnce() -> bool,
+    can_repeat: bool,
+    try_spend: impl FnOnce() -> bool,
 ) -> NextStep {
-    let is_harmless = matches!(
+    let has_not_run = matches!(
         end,
         AttemptEnd::NotSent | AttemptEnd::Misdirected | AttemptEnd::InputsGone | AttemptEnd::NotRun
     );
-    let is_allowed = repeats == RepeatPolicy::Allowed || (is_harmless && !may_have_run);
-    let is_paid = matches!(end, AttemptEnd::NotSent | AttemptEnd::Silent);
-    if is_allowed && has_room && (is_paid || spend()) {
+    let is_allowed = policy == RepeatPolicy::Allowed || (has_not_run && !may_have_run);
+    let is_prepaid = matches!(end, AttemptEnd::NotSent | AttemptEnd::Silent);
+    if is_allowed && can_repeat && (is_prepaid || try_spend()) {
         return NextStep::SendAgain;
     }
     NextStep::Give(match end {
         AttemptEnd::Failed => FinalResponse::ServerFailure,
-        _ if is_harmless && !may_have_run => FinalResponse::Refusal,
+        _ if has_not_run && !may_have_run => FinalResponse::Refusal,
         _ => FinalResponse::NoAnswer,
     })
 }
--- a/crates/core/src/forwarding/store_reads.rs
+++ b/crates/core/src/forwarding/store_reads.rs
@@ -1,16 +1,15 @@
 //! Decides which instances read the store, and when.
 //!
-//! One instance, that which schedules, reads it all the time and tells the others what
-//! has changed. The load that this answers: hundreds of instances start together, lose
-//! the store together, or lose the one that tells them. If each then asks the store for
-//! itself, calls grow with the instances and bytes with instances times servers, and
-//! both are dear: with 295 instances a day with an outage of 8 s and a loss of all power
-//! cost 46 calls each.
+//! The scheduler polls the store and sends changes to the other instances. This bounds the
+//! load on the store when hundreds of instances start together, or lose the store or the
+//! scheduler together. If each of them read the store, calls would grow with the instances
+//! and bytes with instances times servers. Both are expensive: with 295 instances, a day
+//! with an outage of 8 s and a loss of all power cost 46 calls each.
 //!
-//! So who is told goes by that for as long as the platform's bounds allow. A few in
-//! each availability zone, the reserves, read before the others would, so that the
-//! others can be told again; and where the store fails, only the reserves and the one
-//! that schedules try it often.
+//! So an instance that receives updates relies on them for as long as the platform's bounds
+//! allow. A few instances in each availability zone, the reserves, read earlier than the
+//! others would and then update them. When the store fails, only the scheduler and the
+//! reserves retry it often.
 
 use std::collections::BTreeMap;
 
@@ -19,31 +18,32 @@
 use super::RoutingConfig;
 use crate::ids::{InstanceName, ZoneName};
 
-/// Reserves of an availability zone: two, so that the loss of one leaves one.
+/// Reserves in each availability zone; one remains if the other fails.
 const RESERVES_PER_ZONE: usize = 2;
-/// Part of the bound from which one that is not told any more reads itself, in per
-/// cent: a read and another try fit into the rest.
+/// Percentage of the bound after which a follower without updates reads the store; a read
+/// and a retry fit into the rest.
 const FOLLOWER_PERCENT: u64 = 75;
-/// The same for a reserve: it has been read and told on before the others read. What is
-/// told is up to 1.1 s old on a calm day, 55 per cent of the shortest bound that there is;
-/// with 50 per cent the reserves of nine instances made 400 calls of the store in 34 s.
+/// The same for a reserve, which reads and sends updates before the followers read. Without
+/// faults, updates are up to 1.1 s old, 55 per cent of the shortest bound in use; at 50 per
+/// cent, the reserves of nine instances made 400 calls to the store in 34 s.
 const RESERVE_PERCENT: u64 = 60;
-/// Pauses after a call that failed of those that others rely on, in ms: a store that is
-/// back is noticed within a second.
+/// First and longest retry pause of the scheduler and the reserves, in ms; they notice within
+/// a second that the store has recovered.
 const EAGER_PAUSES_MS: [u64; 2] = [100, 800];
-/// The same of all others, in ms: they are told, and try for the case that nobody who
-/// reaches the store reaches them. An outage of 8 s costs three calls of each.
+/// First and longest retry pause of followers, in ms. They receive updates and retry only in
+/// case no instance that reaches the store reaches them. An outage of 8 s costs each of them
+/// three calls.
 const PATIENT_PAUSES_MS: [u64; 2] = [2_000, 8_000];
 
-/// Largest configuration that one instance tells the others, in bytes: 300 of them take
-/// it from a link of 200 Mbit/s in less than half a second. A larger one is read from
-/// the store by each: with 1,550 routes the link of the one that schedules was full for
+/// Largest configuration that one instance sends to the others, in bytes: 300 instances
+/// receive it over a link of 200 Mbit/s in less than half a second. Each instance reads a
+/// larger one from the store: with 1,550 routes the link of the scheduler was saturated for
 /// three seconds, in which it called no server.
-const MOST_TOLD_BYTES: usize = 32 << 10;
-/// Bytes of a route between instances, without its names.
+const MAX_RELAYED_BYTES: usize = 32 << 10;
+/// Encoded size of a route without its names, in bytes.
 const ROUTE_BYTES: usize = 60;
 
-/// Tells whether one instance tells `config` to others who reach the store.
+/// Tells whether `config` is sent to instances that reach the store themselves.
 pub fn is_relayed_to_peers(config: &RoutingConfig) -> bool {
     let routes = config.routes.iter();
     let routes = routes.map(|route| {
@@ -54,83 +54,83 @@
         .workspaces
         .iter()
         .flat_map(|workspace| &workspace.keys);
-    routes.sum::<usize>() + keys.map(String::len).sum::<usize>() <= MOST_TOLD_BYTES
+    routes.sum::<usize>() + keys.map(String::len).sum::<usize>() <= MAX_RELAYED_BYTES
 }
 
-/// Bytes that one instance tells in a second to those that know nothing: less than half
-/// of the smallest link, so that what it does for others goes on. Hundreds that start
-/// together and can't read the store would ask the same one for half a megabyte each, and
-/// again as long as that does not come; with 3,000 servers none had it after 30 s.
-const TOLD_BYTES_PER_S: u64 = 1_000_000;
-/// Bytes of a server between instances.
+/// Upper bound of the full listings that one instance sends, in bytes per second: less than
+/// half of the smallest link, which leaves room for its other traffic. Without it, hundreds of
+/// instances that start together and can't read the store request half a megabyte each from
+/// the same instance, and again until it arrives; with 3,000 servers none had it after 30 s.
+const LISTING_BYTES_PER_S: u64 = 1_000_000;
+/// Encoded size of a server, in bytes.
 const SERVER_BYTES: u64 = 140;
 
-/// Bounds what an instance tells to those that know nothing.
+/// Limits the rate at which an instance sends full listings to instances without any state.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ListingBudget {
-    /// Time until which what was told takes the budget, in ms.
+    /// Time at which the listings sent so far are paid for, in ms.
     busy_until_ms: u64,
 }
 
 impl ListingBudget {
-    /// Takes a listing of `servers` out of the budget, if that is not used up.
+    /// Takes a listing of `servers` out of the budget; returns false if it is used up.
     pub fn try_take(&mut self, now_ms: u64, servers: usize) -> bool {
         if self.busy_until_ms > now_ms + 1_000 {
             return false;
         }
         let bytes = servers as u64 * SERVER_BYTES;
-        let takes_ms = bytes * 1_000 / TOLD_BYTES_PER_S;
-        self.busy_until_ms = self.busy_until_ms.max(now_ms) + takes_ms;
+        let duration_ms = bytes * 1_000 / LISTING_BYTES_PER_S;
+        self.busy_until_ms = self.busy_until_ms.max(now_ms) + duration_ms;
         true
     }
 }
 
-/// Times within which what the platform says has to be in force.
+/// Time bounds within which changes by the platform must be in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PropagationBounds {
-    /// Time within which a configuration has to be, in ms.
+    /// Bound for a configuration, in ms.
     pub configuration_ms: u64,
-    /// Time within which a server that is leaving gets nothing new, in ms.
+    /// Bound after which a leaving server gets no new requests, in ms.
     pub leaving_ms: u64,
 }
 
 impl PropagationBounds {
-    /// Returns the shorter of both, in ms.
+    /// Returns the shorter bound, in ms.
     pub fn shortest_ms(self) -> u64 {
         self.configuration_ms.min(self.leaving_ms)
     }
 }
 
-/// What an instance has to do with the store.
+/// Role of an instance in reading the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreRole {
-    /// It schedules, and reads the store for all.
+    /// It schedules, and reads the store for all instances.
     Scheduler,
-    /// It reads it when the one that schedules does not tell what is new.
+    /// It reads the store when the scheduler sends no updates.
     Reserve,
-    /// It reads it when nobody tells what is new.
+    /// It reads the store when neither the scheduler nor a reserve sends updates.
     Follower,
 }
 
 impl StoreRole {
-    /// Returns what `me` is.
+    /// Returns the role of `instance`.
     pub fn of(
-        me: &InstanceName,
+        instance: &InstanceName,
         scheduler: Option<&InstanceName>,
         reserves: &[InstanceName],
     ) -> Self {
-        if scheduler == Some(me) {
+        if scheduler == Some(instance) {
             Self::Scheduler
-        } else if reserves.contains(me) {
+        } else if reserves.contains(instance) {
             Self::Reserve
         } else {
             Self::Follower
         }
     }
 
-    /// Returns the age of what it was told last from which it reads the store itself,
-    /// in ms. `has_store` says whether the one that schedules reaches the store: where
-    /// it does not, reserves read it all the time, as that one does otherwise.
+    /// Returns the age of the last update after which the instance reads the store, in ms.
+    /// `has_store` says whether the scheduler reaches the store; if it does not, reserves poll
+    /// the store in its place.
     pub fn store_read_age_ms(self, in_force: PropagationBounds, has_store: bool) -> u64 {
         let percent = match self {
             Self::Scheduler => 0,
@@ -141,9 +141,9 @@
         in_force.shortest_ms() * percent / 100
     }
 
-    /// Returns the age of what it knows from which it queries the reserves, in ms.
-    /// `has_store` says whether this instance reaches the store: a scheduler that does not
-    /// queries them all the time, as all others wait for what it tells them.
+    /// Returns the age of the last update after which the instance queries the reserves, in
+    /// ms. `has_store` says whether this instance reaches the store: a scheduler that does not
+    /// polls the reserves, since all others wait for its updates.
     pub fn reserve_query_age_ms(self, in_force: PropagationBounds, has_store: bool) -> u64 {
         match self {
             Self::Scheduler if !has_store => 0,
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Returns the pause after a call that failed after `failures` others, in ms.
+    /// Returns the pause after a failed call that follows `failures` failed ones, in ms.
     fn pause_ms(self, failures: u32) -> u64 {
         let [first_ms, longest_ms] = match self {
             Self::Scheduler | Self::Reserve => EAGER_PAUSES_MS,
@@ -164,8 +164,8 @@
     }
 }
 
-/// Returns the reserves among the instances that are listed: the first of each
-/// availability zone by a hash of their names, which restarts do not change.
+/// Returns the reserves among the listed instances: the first ones of each availability zone
+/// by a hash of their names, which restarts do not change.
 pub fn reserves<'a>(
     listed: impl IntoIterator<Item = (&'a InstanceName, &'a ZoneName)>,
 ) -> Vec<InstanceName> {
@@ -183,8 +183,8 @@
     reserves
 }
 
-/// When the store is tried again after calls that failed: one call at a time, whatever
-/// it is for, until one is answered.
+/// Schedules retries of store calls after a failure: one call at a time, of any kind, until
+/// one succeeds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreRetry {
     failures: u32,
@@ -193,7 +193,7 @@
 }
 
 impl StoreRetry {
-    /// Begins a call, or returns how long to wait for the next try, in ms.
+    /// Begins a call, or returns the time until the next attempt, in ms.
     pub fn begin(&mut self, now_ms: u64) -> Option<u64> {
         if self.failures == 0 {
             return None;
@@ -213,21 +213,21 @@
         self.failures > 0
     }
 
-    /// Notes a call that was answered.
+    /// Records a successful call.
     pub fn on_answered(&mut self) {
         *self = Self::default();
     }
 
-    /// Notes a call that failed; `spread`, from 0 to 1, differs from instance to
-    /// instance, so that they do not try together.
-    pub fn on_failed(&mut self, now_ms: u64, reader: StoreRole, spread: f64) {
+    /// Records a failed call; `jitter`, from 0 to 1, differs between instances, so that they
+    /// do not retry at the same time.
+    pub fn on_failed(&mut self, now_ms: u64, role: StoreRole, jitter: f64) {
         if self.failures > 0 && !self.is_trying {
-            // It was begun together with the first that failed.
+            // The call began before the first failure was known.
             return;
         }
-        let pause_ms = reader.pause_ms(self.failures);
+        let pause_ms = role.pause_ms(self.failures);
         self.failures += 1;
         self.is_trying = false;
-        self.retry_at_ms = now_ms + pause_ms / 2 + (pause_ms as f64 * spread) as u64;
+        self.retry_at_ms = now_ms + pause_ms / 2 + (pause_ms as f64 * jitter) as u64;
     }
 }
