--- a/crates/core/src/forwarding/directory.rs
+++ b/crates/core/src/forwarding/directory.rs
@@ -1,4 +1,4 @@
-//! The backend servers that have registered themselves.
+//! Directory of the registered backend servers.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 
@@ -13,87 +13,86 @@
     poison::{Registered, sample_evenly},
 };
 
-/// Calls that a server takes where its service says nothing of it.
-const DEFAULT_SLOTS: u32 = 1;
+/// Minimum number of concurrent calls of a server.
+const MIN_SLOTS: u32 = 1;
 
 /// One change of a directory.
 #[derive(Clone, Debug)]
 struct Change {
     revision: u64,
-    /// How far the register was known after it; none for one that the register does not
-    /// have, such as what a server said in an answer, which is told to everybody.
+    /// Cursor of the register after the change; none for a change that is not in the register,
+    /// such as a departure announced in a response, which is sent to all instances.
     cursor: Option<Cursor>,
     registered_as: BackendName,
 }
 
-/// The servers that are registered, each with its current run.
+/// The registered servers, each with its current run.
 #[derive(Debug, Default)]
 pub struct Directory {
-    /// By what they are registered as.
+    /// Entries by the identifier that the server registers under.
     entries: BTreeMap<BackendName, ServerEntry>,
-    /// What the server of each run is registered as.
+    /// Identifier that the server of each run registers under.
     runs: HashMap<BackendName, BackendName>,
-    /// How far the register is known.
+    /// Cursor up to which the register is known.
     cursor: Cursor,
     /// Availability zones that the operator has taken out of service.
     evacuated: BTreeSet<ZoneName>,
     /// Servers that the register lacks after an outage of the store, with the time in ms at
-    /// which they count as gone unless they have written themselves again.
-    lapsing: BTreeMap<BackendName, u64>,
-    /// Servers that are gone, and since when: an entry from before does not bring them back.
+    /// which they are removed unless they register again.
+    expiring: BTreeMap<BackendName, u64>,
+    /// Removed servers with the position of the removal; earlier entries are ignored.
     removed: RemovedServers,
-    /// Number of changes that were made to it.
+    /// Number of changes so far.
     revision: u64,
-    /// What changed lately, in order.
+    /// Recent changes in order.
     changes: VecDeque<Change>,
-    /// Cursor from which `changes` has every change: one that knows the register up to an
-    /// earlier one may know servers of which this directory was never told.
+    /// Cursor from which `changes` is complete. Instances that know the register only up to an
+    /// earlier cursor may know servers that this directory never had.
     changes_from: Cursor,
-    /// Runs that have left; an entry that was already on its way does not bring
-    /// them back.
+    /// Runs that have left; later entries of them don't make them available again.
     left: HashSet<BackendName>,
-    /// The same, the latest last.
+    /// The same runs in the order of their departure.
     left_order: VecDeque<BackendName>,
 }
 
-/// Most runs that are remembered as having left: an hour of one leaving each second.
-const MOST_LEFT: usize = 4_096;
-/// Changes that are remembered, so that others can be told them alone: one of each of
-/// twice the servers of the largest fleet that is planned for.
-const MOST_CHANGES: usize = 4_096;
+/// Most tracked runs that have left: an hour at one departure per second.
+const MAX_LEFT: usize = 4_096;
+/// Most changes retained for incremental updates: one of each server in a fleet of twice the
+/// largest planned size.
+const MAX_CHANGES: usize = 4_096;
 
 impl Directory {
-    /// Returns the number of changes that were made to it.
+    /// Returns the number of changes so far.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Returns how far the register is known.
+    /// Returns the cursor up to which the register is known.
     pub fn cursor(&self) -> Cursor {
         self.cursor
     }
 
-    /// Notes that the register is known up to `cursor`.
+    /// Records that the register is known up to `cursor`.
     pub fn advance_cursor(&mut self, cursor: Cursor) {
         self.cursor = self.cursor.max(cursor);
     }
 
-    /// Tells whether it has no server.
+    /// Tells whether no server is registered.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Iterates over the current runs, in the order of what they are registered as.
+    /// Iterates over the current runs, ordered by the identifier that they register under.
     pub fn entries(&self) -> impl Iterator<Item = &ServerEntry> {
         self.entries.values()
     }
 
-    /// Returns a run by its identifier, if it is its server's current one.
+    /// Returns the run with this identifier, if it is its server's current one.
     pub fn entry(&self, id: &BackendName) -> Option<&ServerEntry> {
         self.entries.get(self.runs.get(id)?)
     }
 
-    /// Returns what the register says of the run `entry`, which it had.
+    /// Returns the state in the register of the run `entry`, which was registered before.
     pub fn registered(&self, entry: &ServerEntry) -> Registered {
         if self.left.contains(&entry.id) {
             return Registered::Leaving;
@@ -106,19 +105,18 @@
         }
     }
 
-    /// Returns up to `most` other servers of the availability zone of `entry` that take
-    /// work, of any service, spread over all that there are.
-    pub fn same_zone_servers(&self, entry: &ServerEntry, most: usize) -> Vec<&ServerEntry> {
+    /// Returns an even sample of up to `max` other ready servers in the availability zone of
+    /// `entry`, of any service.
+    pub fn same_zone_servers(&self, entry: &ServerEntry, max: usize) -> Vec<&ServerEntry> {
         let entries = self.entries.values();
-        let neighbours = entries.filter(|other| {
+        let others = entries.filter(|other| {
             other.zone == entry.zone && other.id != entry.id && other.state == ServerState::Ready
         });
-        sample_evenly(neighbours, most)
+        sample_evenly(others, max)
     }
 
-    /// Applies one record of the register at `at`: what a server says of itself, or none
-    /// once it is gone. The register is known up to `cursor` with it. Returns whether
-    /// anything changed.
+    /// Applies the register record at `at`: the entry of a server, or none for its removal. With
+    /// it, the register is known up to `cursor`. Returns whether anything changed.
     pub fn apply_record(
         &mut self,
         registered_as: &BackendName,
@@ -134,8 +132,8 @@
         has_changed
     }
 
-    /// Applies what a server says of itself, or none once it is gone, as one knows it that
-    /// knows the register up to `cursor`. Returns whether anything changed.
+    /// Applies the entry of a server, or its removal, from a source that knows the register up to
+    /// `cursor`. Returns whether anything changed.
     fn apply(
         &mut self,
         registered_as: &BackendName,
@@ -146,7 +144,7 @@
             let cursor = cursor.unwrap_or(self.cursor);
             return self.remove_at(registered_as, cursor.position(), cursor);
         };
-        // Who knows the register up to `cursor` may know single records beyond it.
+        // A source that knows the register up to `cursor` may know single records beyond it.
         let after = Cursor {
             era: entry.position.era,
             offset: entry.position.next().offset,
@@ -155,7 +153,7 @@
         let cursor = cursor.map(|cursor| cursor.max(after));
         let has_changed = self.put(entry);
         if has_changed {
-            self.note_change(registered_as, cursor);
+            self.record_change(registered_as, cursor);
         }
         has_changed
     }
@@ -163,19 +161,19 @@
     fn remove_at(&mut self, registered_as: &BackendName, at: Position, cursor: Cursor) -> bool {
         let known = self.entries.get(registered_as);
         if known.is_some_and(|known| known.position >= at) {
-            // It has written itself since.
+            // The server has registered again since.
             return false;
         }
         self.removed.insert(registered_as, at);
         let has_changed = self.remove(registered_as);
         if has_changed {
-            self.note_change(registered_as, Some(cursor));
+            self.record_change(registered_as, Some(cursor));
         }
         has_changed
     }
 
     fn remove(&mut self, registered_as: &BackendName) -> bool {
-        self.lapsing.remove(registered_as);
+        self.expiring.remove(registered_as);
         let removed = self.entries.remove(registered_as);
         if let Some(entry) = &removed {
             self.runs.remove(&entry.id);
@@ -184,21 +182,21 @@
     }
 
     fn put(&mut self, mut entry: ServerEntry) -> bool {
-        if self.removed.is_before(&entry) {
+        if self.removed.was_removed_after(&entry) {
             return false;
         }
         let known = self.entries.get(&entry.registered_as);
-        let mut is_back = false;
+        let mut is_renewed = false;
         if let Some(known) = known {
             if entry.position < known.position {
                 return false;
             }
             if entry.position > known.position {
-                // Others wait for it to be written again too.
-                is_back = self.lapsing.remove(&entry.registered_as).is_some();
+                // Other instances have to learn that it no longer expires.
+                is_renewed = self.expiring.remove(&entry.registered_as).is_some();
             }
             if entry.started_ms.is_none() {
-                // It does not say that it is another run.
+                // Without a start time, it counts as the same run.
                 entry.id = known.id.clone();
                 entry.started_ms = known.started_ms;
             }
@@ -207,7 +205,7 @@
             entry.state = ServerState::Leaving;
         }
         let has_changed =
-            is_back || known.is_none_or(|known| !known.equals_ignoring_position(&entry));
+            is_renewed || known.is_none_or(|known| !known.equals_ignoring_position(&entry));
         if let Some(known) = known {
             self.runs.remove(&known.id);
         }
@@ -216,51 +214,52 @@
         self.runs.insert(run.clone(), entry.registered_as.clone());
         self.entries.insert(entry.registered_as.clone(), entry);
         if is_leaving {
-            self.note_left(&run);
+            self.record_left(&run);
         }
         has_changed
     }
 
-    /// Remembers that a run has left. When there are too many, the first one to leave that is
-    /// not registered any more is forgotten.
-    fn note_left(&mut self, run: &BackendName) {
+    /// Records that a run has left. If there are too many, evicts the earliest one that is no
+    /// longer registered.
+    fn record_left(&mut self, run: &BackendName) {
         if !self.left.insert(run.clone()) {
             return;
         }
         self.left_order.push_back(run.clone());
-        if self.left_order.len() <= MOST_LEFT {
+        if self.left_order.len() <= MAX_LEFT {
             return;
         }
         let mut order = self.left_order.iter();
         let first = order.position(|run| !self.runs.contains_key(run));
-        let forgotten = self.left_order.remove(first.unwrap_or_default());
-        if let Some(run) = forgotten {
+        let evicted = self.left_order.remove(first.unwrap_or_default());
+        if let Some(run) = evicted {
             self.left.remove(&run);
         }
     }
 
-    fn note_change(&mut self, registered_as: &BackendName, cursor: Option<Cursor>) {
+    fn record_change(&mut self, registered_as: &BackendName, cursor: Option<Cursor>) {
         self.revision += 1;
         self.changes.push_back(Change {
             revision: self.revision,
             cursor,
             registered_as: registered_as.clone(),
         });
-        if self.changes.len() <= MOST_CHANGES {
+        if self.changes.len() <= MAX_CHANGES {
             return;
         }
         let dropped = self.changes.pop_front();
-        // What a server said in an answer it says to whoever asks it.
+        // Departures announced in responses have no cursor; other instances learn them from
+        // responses of the server as well.
         if let Some(cursor) = dropped.and_then(|change| change.cursor) {
             self.changes_from = self.changes_from.max(cursor);
         }
     }
 
-    /// Notes that a run says in an answer that it is leaving, which holds for good. Returns
-    /// whether that was unknown of a registered run.
+    /// Records that a run announced in a response that it is leaving, which is final. Returns
+    /// whether that is new for a registered run.
     pub fn on_leaving(&mut self, id: &BackendName) -> bool {
-        // Its entry may have lapsed, and may be back.
-        self.note_left(id);
+        // Its entry may have expired and may be registered again.
+        self.record_left(id);
         let Some(registered_as) = self.runs.get(id).cloned() else {
             return false;
         };
@@ -269,15 +268,15 @@
             return false;
         };
         entry.state = ServerState::Leaving;
-        self.note_change(&registered_as, None);
+        self.record_change(&registered_as, None);
         true
     }
 
-    /// Replaces all entries by a whole listing.
+    /// Replaces all entries by a complete listing.
     fn replace(&mut self, listing: Vec<ServerEntry>, cursor: Cursor) {
-        for registered_as in self.not_in(&listing) {
-            // A server that has lapsed is gone at its time.
-            if !self.lapsing.contains_key(&registered_as) {
+        for registered_as in self.missing_from(&listing) {
+            // An expiring server is removed only at its deadline.
+            if !self.expiring.contains_key(&registered_as) {
                 self.apply(&registered_as, None, Some(cursor));
             }
         }
@@ -287,44 +286,42 @@
         }
     }
 
-    /// Returns the servers that `listing` lacks, by what they are registered as.
-    fn not_in(&self, listing: &[ServerEntry]) -> Vec<BackendName> {
+    /// Returns the servers that `listing` lacks, by the identifier that they register under.
+    fn missing_from(&self, listing: &[ServerEntry]) -> Vec<BackendName> {
         let listed: HashSet<&BackendName> =
             listing.iter().map(|entry| &entry.registered_as).collect();
         let missing = self.entries.keys().filter(|id| !listed.contains(id));
         missing.cloned().collect()
     }
 
-    /// Takes over the first listing of the register after an outage of the store, in which
-    /// entries of servers that run on may have lapsed: they count as gone at
-    /// `gone_at_ms` unless they have written themselves again. Returns whether anything
-    /// changed.
+    /// Merges the first listing of the register after an outage of the store, during which
+    /// entries of running servers may have expired. These servers are removed at
+    /// `expires_at_ms` unless they register again. Returns whether anything changed.
     ///
-    /// A store that came back from a copy lists what was known before at other positions,
-    /// and may list servers that have left: what is known of a server stays as it is until
-    /// its next record.
+    /// A store that was restored from a copy lists known entries at other positions, and may
+    /// list servers that have left. So known servers stay unchanged until their next record.
     pub fn update_after_outage(
         &mut self,
         listing: Vec<ServerEntry>,
         cursor: Cursor,
-        gone_at_ms: u64,
+        expires_at_ms: u64,
     ) -> bool {
         let before = self.revision;
         if cursor < self.cursor {
-            self.take_newer(&DirectoryUpdate::Whole(listing));
+            self.merge_newer(&DirectoryUpdate::Whole(listing));
             return self.revision != before;
         }
         let is_from_copy = cursor.era > self.cursor.era;
-        for registered_as in self.not_in(&listing) {
-            if !self.lapsing.contains_key(&registered_as) {
-                self.lapsing.insert(registered_as.clone(), gone_at_ms);
-                self.note_change(&registered_as, Some(cursor));
+        for registered_as in self.missing_from(&listing) {
+            if !self.expiring.contains_key(&registered_as) {
+                self.expiring.insert(registered_as.clone(), expires_at_ms);
+                self.record_change(&registered_as, Some(cursor));
             }
         }
         for entry in listing {
             let registered_as = entry.registered_as.clone();
             if is_from_copy && self.removed.contains(&registered_as) {
-                // What the copy says of it is from before.
+                // The copy contains an entry from before the removal.
                 self.removed.insert(&registered_as, cursor.position());
             }
             let is_known = self.entries.contains_key(&registered_as);
@@ -337,24 +334,24 @@
         self.revision != before
     }
 
-    /// Returns the servers that have lapsed, with the time that each has left.
+    /// Returns the expiring servers with the time until each is removed.
     pub fn expiring(&self, now_ms: u64) -> Vec<ExpiringServer> {
-        let lapsing = self.lapsing.iter().filter_map(|(registered_as, at_ms)| {
+        let expiring = self.expiring.iter().filter_map(|(registered_as, at_ms)| {
             Some(ExpiringServer {
                 position: self.entries.get(registered_as)?.position,
                 registered_as: registered_as.clone(),
                 left_ms: at_ms.saturating_sub(now_ms),
             })
         });
-        lapsing.collect()
+        expiring.collect()
     }
 
-    /// Returns the servers that have lapsed.
+    /// Returns the identifiers that the expiring servers register under.
     pub fn expiring_names(&self) -> Vec<BackendName> {
-        self.lapsing.keys().cloned().collect()
+        self.expiring.keys().cloned().collect()
     }
 
-    /// Adds what `servers` say of themselves to an update, also where that has not changed.
+    /// Adds the entries of `servers` to an incremental update even if they have not changed.
     pub fn include_entries(&self, update: &mut DirectoryUpdate, servers: &[BackendName]) {
         let DirectoryUpdate::Changes(changes) = update else {
             return;
@@ -366,42 +363,42 @@
         }
     }
 
-    /// Takes over which servers have lapsed from another instance.
-    pub fn on_expiring(&mut self, now_ms: u64, lapsing: &[ExpiringServer]) {
-        for server in lapsing {
+    /// Merges the expiring servers of another instance.
+    pub fn on_expiring(&mut self, now_ms: u64, expiring: &[ExpiringServer]) {
+        for server in expiring {
             let known = self.entries.get(&server.registered_as);
             if known.is_none_or(|known| known.position > server.position) {
                 continue;
             }
-            let gone_at_ms = now_ms + server.left_ms;
-            let known_ms = self.lapsing.entry(server.registered_as.clone());
-            let known_ms = known_ms.or_insert(gone_at_ms);
-            *known_ms = gone_at_ms.min(*known_ms);
+            let expires_at_ms = now_ms + server.left_ms;
+            let known_ms = self.expiring.entry(server.registered_as.clone());
+            let known_ms = known_ms.or_insert(expires_at_ms);
+            *known_ms = expires_at_ms.min(*known_ms);
         }
     }
 
-    /// Takes servers for gone that have not written themselves again in time; returns them.
+    /// Removes the servers that have not registered again in time; returns them.
     pub fn remove_expired(&mut self, now_ms: u64) -> Vec<BackendName> {
-        let lapsed = self.lapsing.iter().filter(|(_, at_ms)| **at_ms <= now_ms);
-        let lapsed: Vec<BackendName> = lapsed.map(|(id, _)| id.clone()).collect();
-        for registered_as in &lapsed {
+        let expired = self.expiring.iter().filter(|(_, at_ms)| **at_ms <= now_ms);
+        let expired: Vec<BackendName> = expired.map(|(id, _)| id.clone()).collect();
+        for registered_as in &expired {
             self.apply(registered_as, None, Some(self.cursor));
         }
-        lapsed
+        expired
     }
 
-    /// Takes over what the register, or another instance that knows it up to
-    /// `cursor`, tells. Returns whether anything changed.
+    /// Applies an update by the register, or by an instance that knows it up to `cursor`. Returns
+    /// whether anything changed.
     pub fn update_to(&mut self, update: DirectoryUpdate, cursor: Cursor) -> bool {
         let before = self.revision;
-        self.learn_leaving(&update);
+        self.merge_leaving(&update);
         if cursor < self.cursor {
-            self.take_newer(&update);
+            self.merge_newer(&update);
             return self.revision != before;
         }
         match update {
             DirectoryUpdate::Whole(listing) => {
-                // Who came and went since the last cursor is not told by it.
+                // The listing omits servers that came and left since the last cursor.
                 if cursor > self.cursor {
                     self.changes_from = cursor;
                 }
@@ -417,8 +414,8 @@
         self.revision != before
     }
 
-    /// Learns which runs leave from entries at any position, since that holds for good.
-    fn learn_leaving(&mut self, update: &DirectoryUpdate) {
+    /// Records leaving runs from entries at any position, since a departure is final.
+    fn merge_leaving(&mut self, update: &DirectoryUpdate) {
         for entry in update.entries() {
             if entry.state == ServerState::Leaving {
                 self.on_leaving(&entry.id);
@@ -426,10 +423,10 @@
         }
     }
 
-    /// Takes over the entries that are newer than what is known, from one that does not
-    /// know the register as far: after an outage it waits before it takes servers for
-    /// gone, and knows more of the others.
-    fn take_newer(&mut self, update: &DirectoryUpdate) {
+    /// Merges the entries that are newer than the known ones, from a source that knows less of
+    /// the register. After an outage, such a source may still wait before it removes servers
+    /// and know newer entries of the others.
+    fn merge_newer(&mut self, update: &DirectoryUpdate) {
         for entry in update.entries() {
             let known = self.entries.get(&entry.registered_as);
             let known_to = known.map_or(self.cursor.position(), |known| known.position);
@@ -440,8 +437,8 @@
         }
     }
 
-    /// Returns what one does not know that knows the register up to `known`;
-    /// everything when that is unknown or too long ago.
+    /// Returns the update for a receiver that knows the register up to `known`; a complete
+    /// listing if that is unknown or too old.
     pub fn update_for(&self, known: SyncPoint) -> DirectoryUpdate {
         let is_whole = match known {
             SyncPoint::Revision(since) => {
@@ -470,8 +467,8 @@
         DirectoryUpdate::Changes(changes.collect())
     }
 
-    /// Returns the pools and backend servers that the fleet is to know. Pools
-    /// without a configured service are left out with their servers.
+    /// Returns the pools and backend servers for the fleet. Servers without a configured service
+    /// are omitted.
     pub fn for_fleet(&self, config: &RoutingConfig) -> (Vec<Pool>, Vec<Backend>) {
         let pools: Vec<Pool> = config.services.iter().map(pool).collect();
         let known: HashSet<&PoolName> = config.services.iter().map(|s| &s.name).collect();
@@ -483,23 +480,23 @@
         (pools, backends.collect())
     }
 
-    /// Takes over which availability zones are evacuated.
+    /// Sets the evacuated availability zones.
     pub fn set_evacuated(&mut self, zones: BTreeSet<ZoneName>) {
         self.evacuated = zones;
     }
 
-    /// Returns the availability zones that are evacuated.
+    /// Returns the evacuated availability zones.
     pub fn evacuated(&self) -> &BTreeSet<ZoneName> {
         &self.evacuated
     }
 
-    /// Tells whether a server takes nothing new: it is leaving, or its availability zone is
+    /// Tells whether a server gets no new requests: it is leaving, or its availability zone is
     /// evacuated.
     pub fn is_closed(&self, entry: &ServerEntry) -> bool {
         entry.state == ServerState::Leaving || self.evacuated.contains(&entry.zone)
     }
 
-    /// Returns the servers that take nothing new.
+    /// Returns the servers that get no new requests.
     pub fn closed(&self) -> HashSet<BackendName> {
         let closed = self.entries.values().filter(|entry| self.is_closed(entry));
         closed.map(|entry| entry.id.clone()).collect()
@@ -524,6 +521,6 @@
         pool: entry.service.clone(),
         zone: entry.zone.clone(),
         addr: entry.addr,
-        slots: entry.slots.max(DEFAULT_SLOTS),
+        slots: entry.slots.max(MIN_SLOTS),
     }
 }
--- a/crates/core/src/forwarding/evacuation.rs
+++ b/crates/core/src/forwarding/evacuation.rs
@@ -1,9 +1,9 @@
-//! Availability zones that the operator has taken out of service.
+//! Tracks the availability zones that the operator has taken out of service.
 //!
-//! The load that this answers: the operator evacuates a zone with a third of the backend
-//! servers, and takes that back, while instances start, are cut off or lose the store.
-//! Each instance learns what the operator said last from the store or from another
-//! instance, and never goes back behind it.
+//! The operator may evacuate a zone with a third of the backend servers, and take that back,
+//! while instances start, are partitioned or lose the store. Each instance learns the
+//! operator's last order from the store or from another instance, and never returns to an
+//! earlier one.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,55 +12,56 @@
 use super::{Cursor, Position};
 use crate::ids::ZoneName;
 
-/// Most zones that are remembered, so that other writers of the store can't fill the
-/// memory of an instance.
+/// Most tracked zones, so that other writers of the store can't exhaust the memory of an
+/// instance.
 pub const MAX_ZONES: usize = 256;
 
-/// Time for which an evacuation goes on that a store lacks since it came back from a copy,
-/// in ms: the operator writes again what it had written, a few seconds later.
+/// Time for which an evacuation stays in force that is missing from a store restored from a
+/// copy, in ms: the operator rewrites its orders within a few seconds.
 pub const MISSING_GRACE_MS: u64 = 10_000;
-/// Time after which one is in force again that had ended and that such a store has, in ms:
-/// less than platforms allow for an evacuation, since the operator may have ordered it anew.
+/// Time after which an ended evacuation that such a store still lists is in force again, in ms.
+/// It is shorter than the time that platforms allow for an evacuation, since the operator may
+/// have ordered it again.
 pub const REINSTATE_DELAY_MS: u64 = 3_000;
 
-/// What the operator said last of one zone.
+/// Last order of the operator for one zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Order {
     is_evacuated: bool,
-    /// Position of the record that says so.
+    /// Position of the record of the order.
     position: Position,
-    /// Whether that record was read in its turn, and not in a listing of the newest ones.
+    /// Whether the record was read in sequence, and not in a listing of the latest records.
     is_in_turn: bool,
-    /// Time in ms at which the contrary holds, which a store that came back from a copy
-    /// says, unless the operator writes again what it had said.
+    /// Time at which the opposite order of a store that was restored from a copy takes effect,
+    /// in ms, unless the operator rewrites its own before.
     changes_at_ms: Option<u64>,
 }
 
-/// What the operator said last of one zone, as instances tell it each other.
+/// Last order of the operator for one zone, as exchanged between instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneOrder {
     /// The zone.
     pub zone: ZoneName,
     /// Whether it is evacuated.
     pub is_evacuated: bool,
-    /// Position of the record that says so.
+    /// Position of the record of the order.
     pub position: Position,
-    /// Whether that record was read in its turn, and not in a listing of the newest ones.
+    /// Whether the record was read in sequence, and not in a listing of the latest records.
     pub is_in_turn: bool,
-    /// Time after which the contrary holds unless the operator writes it again, in ms.
+    /// Time until the opposite takes effect unless the operator rewrites the order, in ms.
     pub left_ms: Option<u64>,
 }
 
-/// What an instance knows of evacuations, as it tells others.
+/// Evacuation state of an instance, as sent to others.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationState {
-    /// How far it knows the operator's records.
+    /// Cursor up to which it knows the operator's records.
     pub cursor: Cursor,
-    /// The zones that were ever evacuated.
+    /// All zones that were ever evacuated.
     pub zones: Vec<ZoneOrder>,
 }
 
-/// What the operator said last of each zone that was ever evacuated.
+/// The operator's last order for each zone that was ever evacuated.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Evacuations {
     zones: BTreeMap<ZoneName, Order>,
@@ -68,34 +69,34 @@
 }
 
 impl Evacuations {
-    /// Returns how far the operator's records are known.
+    /// Returns the cursor up to which the operator's records are known.
     pub fn cursor(&self) -> Cursor {
         self.cursor
     }
 
-    /// Returns the zones that are evacuated.
+    /// Returns the evacuated zones.
     pub fn zones(&self) -> BTreeSet<ZoneName> {
         let evacuated = self.zones.iter().filter(|(_, order)| order.is_evacuated);
         evacuated.map(|(zone, _)| zone.clone()).collect()
     }
 
-    /// Applies the record at `position` that evacuates a zone or takes that back.
+    /// Applies the record at `position`, which begins or ends the evacuation of a zone.
     pub fn apply(&mut self, zone: ZoneName, is_evacuated: bool, position: Position) {
-        self.put_later(zone, is_evacuated, position, true);
+        self.put_if_later(zone, is_evacuated, position, true);
     }
 
-    /// Notes that the operator's records are known up to `cursor`.
+    /// Records that the operator's records are known up to `cursor`.
     pub fn advance_cursor(&mut self, cursor: Cursor) {
         self.cursor = self.cursor.max(cursor);
     }
 
-    /// Takes over the zones that the store lists as evacuated, after which the operator's
-    /// records are known up to `cursor`.
+    /// Applies the store's list of evacuated zones, after which the operator's records are known
+    /// up to `cursor`.
     ///
-    /// A store that has come back from a copy does not undo what is known at once, since
-    /// the operator writes again what it had said: an evacuation that the copy lacks goes on
-    /// for [`MISSING_GRACE_MS`], and one that has ended is in force again only if the store
-    /// has it for [`REINSTATE_DELAY_MS`].
+    /// The list of a store that was restored from a copy does not override known orders at once,
+    /// since the operator rewrites them: an evacuation that the copy lacks stays in force for
+    /// [`MISSING_GRACE_MS`], and an ended one is in force again only after the store has listed
+    /// it for [`REINSTATE_DELAY_MS`].
     pub fn apply_listing(
         &mut self,
         now_ms: u64,
@@ -113,9 +114,9 @@
                 let at_ms = now_ms + MISSING_GRACE_MS;
                 order.changes_at_ms.get_or_insert(at_ms);
             }
-            let is_held = is_from_copy || order.changes_at_ms.is_some();
-            let goes_on = order.is_evacuated && is_held;
-            if !is_listed && !goes_on {
+            let has_grace = is_from_copy || order.changes_at_ms.is_some();
+            let stays_evacuated = order.is_evacuated && has_grace;
+            if !is_listed && !stays_evacuated {
                 order.is_evacuated = false;
                 order.changes_at_ms = None;
             }
@@ -124,7 +125,7 @@
             let known = self.zones.get(&zone);
             let is_ended = known.is_none_or(|known| !known.is_evacuated);
             let is_pending = is_ended && known.is_some_and(|known| known.changes_at_ms.is_some());
-            // It was known up to there that the zone is in service.
+            // The zone is known to be in service at a later offset.
             if is_from_copy && is_ended && position.offset < self.cursor.offset {
                 let order = Order {
                     is_evacuated: false,
@@ -134,14 +135,14 @@
                 };
                 self.put(zone, order);
             } else if !is_pending {
-                self.put_later(zone, true, position, false);
+                self.put_if_later(zone, true, position, false);
             }
         }
         self.advance_cursor(cursor);
     }
 
-    /// Takes over what a store that came back from a copy says, where the operator has not
-    /// written anything else in time.
+    /// Applies the pending orders of a store that was restored from a copy, where the operator
+    /// has not rewritten its own in time.
     pub fn apply_due_changes(&mut self, now_ms: u64) {
         for order in self.zones.values_mut() {
             if order.changes_at_ms.is_some_and(|at_ms| at_ms <= now_ms) {
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Returns what this instance tells others.
+    /// Returns the state to send to other instances.
     pub fn state(&self, now_ms: u64) -> EvacuationState {
         let zones = self.zones.iter().map(|(zone, order)| ZoneOrder {
             zone: zone.clone(),
@@ -168,44 +169,45 @@
         }
     }
 
-    /// Takes over what another instance knows, if that is more. One that has only read a
-    /// copy of the store says no more than the copy does.
+    /// Merges the state of another instance if it knows more. An instance that has only read a
+    /// copy of the store knows no more than the copy itself.
     pub fn update(&mut self, now_ms: u64, other: EvacuationState) {
         if other.cursor <= self.cursor {
             return;
         }
         if other.cursor.is_less_complete_copy_than(self.cursor) {
-            return self.apply_told_copy(now_ms, other);
+            return self.apply_remote_copy(now_ms, other);
         }
-        let zones = other.zones.into_iter().take(MAX_ZONES).map(|told| {
+        let zones = other.zones.into_iter().take(MAX_ZONES).map(|remote| {
             let order = Order {
-                is_evacuated: told.is_evacuated,
-                position: told.position,
-                is_in_turn: told.is_in_turn,
-                changes_at_ms: told.left_ms.map(|left_ms| now_ms + left_ms),
+                is_evacuated: remote.is_evacuated,
+                position: remote.position,
+                is_in_turn: remote.is_in_turn,
+                changes_at_ms: remote.left_ms.map(|left_ms| now_ms + left_ms),
             };
-            (told.zone, order)
+            (remote.zone, order)
         });
         let mut zones: BTreeMap<ZoneName, Order> = zones.collect();
-        // Records that this instance has read may be later than what the other one knows, or
-        // say the contrary of what that holds on to.
-        let told_to = other.cursor.position();
+        // Records that this instance has read may be later than those known to the other one, or
+        // contradict an order that the other one only retains during its grace period.
+        let remote_position = other.cursor.position();
         for (zone, own) in std::mem::take(&mut self.zones) {
-            let told = zones.get(&zone);
-            let is_contrary = told.is_some_and(|told| {
-                let is_held = told.changes_at_ms.is_some();
-                let is_of_era = own.is_in_turn && own.position.era == told_to.era;
-                is_held && is_of_era && told.is_evacuated != own.is_evacuated
+            let remote = zones.get(&zone);
+            let is_contradicted = remote.is_some_and(|remote| {
+                let is_pending = remote.changes_at_ms.is_some();
+                let is_of_same_era = own.is_in_turn && own.position.era == remote_position.era;
+                is_pending && is_of_same_era && remote.is_evacuated != own.is_evacuated
             });
-            let is_beyond = told.is_none_or(|told| own.position > told.position);
-            let is_later = own.position >= told_to && is_beyond && own.changes_at_ms.is_none();
-            let is_known_better = told.is_some_and(|told| {
-                let says_the_same = (told.is_evacuated, told.changes_at_ms)
+            let is_beyond = remote.is_none_or(|remote| own.position > remote.position);
+            let is_later =
+                own.position >= remote_position && is_beyond && own.changes_at_ms.is_none();
+            let is_better_known = remote.is_some_and(|remote| {
+                let is_same_order = (remote.is_evacuated, remote.changes_at_ms)
                     == (own.is_evacuated, own.changes_at_ms);
-                let told = (told.position, told.is_in_turn);
-                says_the_same && (own.position, own.is_in_turn) > told
+                let remote = (remote.position, remote.is_in_turn);
+                is_same_order && (own.position, own.is_in_turn) > remote
             });
-            if is_later || is_contrary || is_known_better {
+            if is_later || is_contradicted || is_better_known {
                 zones.insert(zone, own);
             }
         }
@@ -213,23 +215,23 @@
         self.cursor = other.cursor;
     }
 
-    /// Takes over what another instance, which remembers less, says of a copy that this one
-    /// has not read: the copy lists zones that are evacuated there, and those that had ended
-    /// and are to be in force again.
-    fn apply_told_copy(&mut self, now_ms: u64, other: EvacuationState) {
+    /// Applies a copy of the store that this instance has not read, as reported by an instance
+    /// that knows less: the copy lists the zones that are evacuated there, and those whose ended
+    /// evacuations are to be in force again.
+    fn apply_remote_copy(&mut self, now_ms: u64, other: EvacuationState) {
         let cursor = other.cursor.continued_from(self.cursor);
-        let is_listed = |told: &ZoneOrder| told.is_evacuated == told.left_ms.is_none();
+        let is_listed = |remote: &ZoneOrder| remote.is_evacuated == remote.left_ms.is_none();
         let listed = other.zones.into_iter().filter(is_listed);
-        let listed = listed.map(|told| {
+        let listed = listed.map(|remote| {
             let era = cursor.era;
-            // Any record of the copy may say so.
-            (told.zone, Position { era, offset: 0 })
+            // The position of the record in the copy is unknown.
+            (remote.zone, Position { era, offset: 0 })
         });
         self.apply_listing(now_ms, listed, cursor);
     }
 
-    /// Notes what a record says, if it is later than the one that is known.
-    fn put_later(
+    /// Applies a record if it is later than the known one.
+    fn put_if_later(
         &mut self,
         zone: ZoneName,
         is_evacuated: bool,
@@ -238,7 +240,7 @@
     ) {
         let known = self.zones.get(&zone);
         let is_later = known.is_none_or(|known| {
-            // The same record, read in its turn, says more than in a listing.
+            // The same record read in sequence takes precedence over one from a listing.
             (known.position, known.is_in_turn) < (position, is_in_turn)
         });
         if is_later {
--- a/crates/core/src/forwarding/objects.rs
+++ b/crates/core/src/forwarding/objects.rs
@@ -1,30 +1,30 @@
-//! What an operator configures for forwarded requests.
+//! Routing configuration of forwarded requests.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{PoolName, WorkspaceName};
 
-/// One whole version of the routing configuration.
+/// One complete version of the routing configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RoutingConfig {
-    /// Number of the version; later versions have higher ones.
+    /// Version number, which increases with each version.
     pub version: u64,
     /// Routes, in no particular order.
     pub routes: Vec<Route>,
-    /// Services that routes and stages name.
+    /// Services that routes and stages refer to.
     pub services: Vec<Service>,
-    /// Workspaces with their keys; without any, no request needs a key.
+    /// Workspaces with their keys; if empty, no request needs a key.
     pub workspaces: Vec<WorkspaceKeys>,
-    /// What callers may send.
+    /// Limits for callers.
     pub limits: CallerLimits,
 }
 
-/// What callers may send, and how long they may take.
+/// Limits for the requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: u64,
-    /// Time that a connection may be idle, in ms.
+    /// Idle timeout of a connection, in ms.
     pub idle_timeout_ms: u64,
 }
 
@@ -37,14 +37,14 @@
     }
 }
 
-/// A workspace and the keys that prove it.
+/// A workspace and the keys that authenticate its callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkspaceKeys {
     /// Name of the workspace.
     pub name: WorkspaceName,
     /// Keys that its callers present.
     pub keys: Vec<String>,
-    /// Rank that goes before that of a route, 0 being the most urgent.
+    /// Rank that overrides that of a route, 0 being the most urgent.
     pub priority: Option<u8>,
 }
 
@@ -55,19 +55,18 @@
     Idempotent,
     /// It may run at most once for each request of a caller.
     Mutating,
-    /// It is answered with a stream of events, and runs at most once unless the
-    /// route says that it can be resumed.
+    /// Its response is a stream of events. It runs at most once unless the route is resumable.
     Stream,
 }
 
-/// Where requests of a host and path go.
+/// Destination of the requests to a host and path prefix.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// Name of the route.
     pub name: String,
-    /// Host that the request names.
+    /// Host of the request.
     pub host: String,
-    /// Beginning of its path.
+    /// Prefix of the request path.
     pub path_prefix: String,
     /// How often a request may run.
     pub kind: RouteKind,
@@ -75,21 +74,21 @@
     pub targets: Vec<Target>,
     /// Most backend servers that one request may be sent to.
     pub max_servers: u32,
-    /// Longest time that a caller is kept waiting, in ms.
+    /// Longest time that a caller waits for a response, in ms.
     pub timeout_ms: u64,
-    /// Time within which an answer has its full worth, in ms.
+    /// Latency goal within which a response has its full value, in ms.
     pub goal_ms: u64,
     /// Rank of its requests, 0 being the most urgent.
     pub priority: u8,
-    /// Whether its requests need no key.
+    /// Whether its requests are accepted without a key.
     pub is_public: bool,
     /// Whether its requests carry prompts of a model engine.
     pub has_prompts: bool,
-    /// Whether a broken stream may go on at another engine.
+    /// Whether another engine may resume an interrupted stream.
     pub is_resumable: bool,
-    /// Longest pause between two events of a stream in time, in ms.
+    /// Longest gap between two events of a stream that counts as in time, in ms.
     pub event_gap_ms: Option<u64>,
-    /// Work that comes before the request itself.
+    /// Stages that run before the request itself.
     pub stages: Vec<RouteStage>,
 }
 
@@ -104,81 +103,81 @@
     }
 }
 
-/// A service that takes part of a route's requests.
+/// A service that gets a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     /// The service.
     pub service: PoolName,
-    /// Its share beside those of the other targets.
+    /// Weight relative to the other targets.
     pub weight: u32,
 }
 
-/// Work before a request, in pieces that backend servers take in batches.
+/// Work before a request, in pieces that backend servers process in batches.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteStage {
-    /// Service that does it.
+    /// Service that runs the stage.
     pub service: PoolName,
     /// Indices of the stages whose results it needs.
     pub after: Vec<usize>,
-    /// Usual size of one result, in bytes.
+    /// Typical size of one result, in bytes.
     pub result_bytes: u64,
 }
 
-/// Backend servers that do the same work.
+/// Interchangeable backend servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
     /// Name of the service.
     pub name: PoolName,
-    /// Connections that one server takes from all instances together.
+    /// Connections that one server accepts from all instances together.
     pub max_connections: u32,
-    /// How its servers take pieces, where it serves stages.
+    /// Batching parameters, for a service of stages.
     pub batching: Option<Batching>,
-    /// What its engines can hold, where it serves prompts.
+    /// Capacity of each engine, for a service of prompts.
     pub engine: Option<Engine>,
-    /// What its servers take after a start, where that is bounded.
+    /// Limits after the start of a server, if it has a cold start.
     pub cold_start: Option<ColdStart>,
 }
 
-/// What a server takes while it is cold.
+/// Limits of a server while it is cold.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ColdStart {
-    /// Time from its start for which it is cold, in ms.
+    /// Time from the start for which the server is cold, in ms.
     pub duration_ms: u64,
-    /// Requests a second that it takes meanwhile, of all instances together.
+    /// Requests per second that it accepts from all instances together until then.
     pub requests_per_s: f64,
 }
 
-/// How one server of a service takes pieces of stages.
+/// How a server processes pieces of stages.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Batching {
-    /// Calls that it works on at the same time.
+    /// Calls that it processes concurrently.
     pub slots: u32,
-    /// Calls that may wait for that.
+    /// Calls that may wait for a slot.
     pub queue: u32,
     /// Most pieces of one call.
     pub batch_pieces: usize,
-    /// Time of a call beside its pieces, in ms.
+    /// Fixed duration of a call, without its pieces, in ms.
     pub call_ms: f64,
-    /// Usual time of one piece, in ms.
+    /// Typical duration of one piece, in ms.
     pub piece_ms: f64,
     /// Memory for results, in bytes.
     pub room_bytes: u64,
-    /// Time that a result is kept after its call unless it is freed, in ms.
+    /// Time for which a result is retained after its call unless it is freed earlier, in ms.
     pub result_ttl_ms: u64,
 }
 
 impl Batching {
-    /// Returns the time that a call with `pieces` takes, in ms.
+    /// Returns the expected duration of a call with `pieces`, in ms.
     pub fn duration_ms(&self, pieces: usize) -> f64 {
         self.call_ms + self.piece_ms * pieces as f64
     }
 }
 
-/// What one model engine can hold.
+/// Capacity of one model engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Engine {
-    /// Requests that run at the same time.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// Capacity of its memory, in tokens.
     pub memory_tokens: u64,
 }
--- a/crates/core/src/forwarding/position.rs
+++ b/crates/core/src/forwarding/position.rs
@@ -1,21 +1,20 @@
-//! Positions in the topics of the store, and how far a topic is known.
+//! Positions of records in the topics of the store, and cursors up to which a topic is known.
 //!
-//! The load that this answers: the store is lost for a moment and comes back from a copy
-//! some seconds old. What was written since is gone, and its offsets are given out again
-//! with other records, so that an offset alone says nothing. The store counts how often
-//! that has happened; each count is an era.
+//! The store may fail and be restored from a copy that is some seconds old. Later writes are lost,
+//! and their offsets are assigned again to other records, so that an offset alone does not
+//! identify a record. The store counts these restores; each count is an era.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Position of a record in a topic of the store. A record of a later era is later, also
-/// at a lower offset.
+/// Position of a record in a topic of the store. A record of a later era is later even if its
+/// offset is lower.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Position {
-    /// Era of the store in which its offset was given out.
+    /// Era of the store in which the offset was assigned.
     pub era: u64,
     /// Offset of the record.
     pub offset: u64,
@@ -31,21 +30,21 @@
     }
 }
 
-/// How far a topic is known. A later cursor knows more.
+/// Cursor up to which a topic is known. A greater cursor stands for more knowledge.
 ///
-/// Within an era, one that knew more of the topic before the store came back from its copy
-/// knows more than one that has only read the copy: it remembers what the copy lacks, and
-/// what the copy still has although it is over.
+/// Within an era, an instance that had read more of the topic before the restore knows more than
+/// one that has only read the copy: it knows the records that the copy lacks, and which records
+/// of the copy are obsolete.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Cursor {
     /// Era of the store.
     pub era: u64,
-    /// Offset up to which the topic was known in the era before, plus one; 0 where it was
-    /// not known then.
+    /// Offset up to which the topic was known in the previous era, plus one; 0 if it was not
+    /// known then.
     pub before: u64,
-    /// Offset of the first record that is not known.
+    /// Offset of the first unknown record.
     pub offset: u64,
 }
 
@@ -55,7 +54,7 @@
         self == Self::default()
     }
 
-    /// Returns the position of the first record that is not known.
+    /// Returns the position of the first unknown record.
     pub fn position(self) -> Position {
         Position {
             era: self.era,
@@ -63,18 +62,17 @@
         }
     }
 
-    /// Tells whether one with this cursor knows the topic from a copy of the store, where one
-    /// that knows it up to `known` may remember more of the time before: what it says is
-    /// weighed against that, as the copy itself is.
+    /// Tells whether this cursor is from a later era than `known`, and `known` may stand for
+    /// knowledge of the earlier era that this cursor lacks. State at this cursor must then be
+    /// merged like the copy itself instead of replacing the state at `known`.
     pub fn is_less_complete_copy_than(self, known: Self) -> bool {
         let is_later = self.era > known.era && !known.is_start();
-        let remembers_as_much =
+        let knows_as_much =
             self.era == known.era + 1 && known.before == 0 && self.before >= known.as_before();
-        is_later && !remembers_as_much
+        is_later && !knows_as_much
     }
 
-    /// Returns the cursor of one that knows the topic so far in a later era than `known`, up
-    /// to which it knew it before.
+    /// Returns this cursor for an instance that knew the topic up to `known` in an earlier era.
     pub fn continued_from(self, known: Self) -> Self {
         Self {
             before: known.as_before(),
@@ -82,7 +80,7 @@
         }
     }
 
-    /// Returns what this cursor is in the era after it.
+    /// Returns the value of `before` that represents this cursor in the next era.
     fn as_before(self) -> u64 {
         if self.is_start() { 0 } else { self.offset + 1 }
     }
@@ -94,7 +92,7 @@
             before: match era.saturating_sub(self.era) {
                 0 => self.before,
                 1 => self.as_before(),
-                // What was known of the eras between is nothing.
+                // Nothing is known of the eras in between.
                 _ => u64::from(!self.is_start()),
             },
             offset,
--- a/crates/core/src/forwarding/removed_servers.rs
+++ b/crates/core/src/forwarding/removed_servers.rs
@@ -1,18 +1,18 @@
-//! Servers that have been removed from the register.
+//! Tracks servers that were removed from the register.
 
 use std::collections::{HashMap, VecDeque};
 
 use super::{Position, ServerEntry};
 use crate::ids::BackendName;
 
-/// Most servers that are remembered: an hour of one leaving each second.
+/// Most tracked servers: an hour at one removal per second.
 const MAX_REMOVED: usize = 4_096;
 
-/// Servers that have been removed, and the position in the register at which each was.
+/// Removed servers, and the register position of each removal.
 #[derive(Debug, Default)]
 pub(super) struct RemovedServers {
     positions: HashMap<BackendName, Position>,
-    /// The same, the latest last.
+    /// The same servers in the order of their removal.
     order: VecDeque<BackendName>,
 }
 
@@ -32,7 +32,7 @@
     }
 
     /// Tells whether the server was removed after it wrote `entry`.
-    pub(super) fn is_before(&self, entry: &ServerEntry) -> bool {
+    pub(super) fn was_removed_after(&self, entry: &ServerEntry) -> bool {
         let removed_at = self.positions.get(&entry.registered_as);
         removed_at.is_some_and(|removed_at| entry.position < *removed_at)
     }
--- a/crates/core/src/forwarding/table.rs
+++ b/crates/core/src/forwarding/table.rs
@@ -1,49 +1,49 @@
-//! Finds the route of a request, and the workspace of a key.
+//! Looks up the route of a request and the workspace of a key.
 
 use std::{collections::HashMap, sync::Arc};
 
 use super::{Route, RoutingConfig, Service};
 use crate::ids::{PoolName, WorkspaceName};
 
-/// Why a request has no route.
+/// Reason why no route was matched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unroutable {
-    /// No route takes its host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// Its route asks for a key, and it has none that is known.
+    /// The route requires a key, and the request has no known one.
     UnknownKey,
 }
 
-/// A workspace as a request's key names it.
+/// The workspace that owns a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Holder {
+struct KeyOwner {
     name: WorkspaceName,
     priority: Option<u8>,
 }
 
-/// A routing configuration, arranged for lookups.
+/// A routing configuration, indexed for lookups.
 #[derive(Debug)]
 pub struct RouteTable {
     config: Arc<RoutingConfig>,
     /// Routes of each host, those with the longest prefix first.
     hosts: HashMap<String, Vec<Arc<Route>>>,
-    holders: HashMap<String, Holder>,
+    key_owners: HashMap<String, KeyOwner>,
     services: HashMap<PoolName, Service>,
 }
 
-/// What a request was matched with.
+/// Result of matching a request.
 #[derive(Clone, Debug)]
 pub struct Matched {
-    /// Its route.
+    /// Route of the request.
     pub route: Arc<Route>,
-    /// Workspace of its key.
+    /// Workspace of the request's key.
     pub workspace: Option<WorkspaceName>,
-    /// Its rank, 0 being the most urgent.
+    /// Rank of the request, 0 being the most urgent.
     pub priority: u8,
 }
 
 impl RouteTable {
-    /// Arranges `config` for lookups.
+    /// Indexes `config`.
     pub fn new(config: Arc<RoutingConfig>) -> Self {
         let mut hosts: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in &config.routes {
@@ -53,17 +53,17 @@
         for routes in hosts.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
         }
-        let holders = config.workspaces.iter().flat_map(|workspace| {
-            let holder = Holder {
+        let key_owners = config.workspaces.iter().flat_map(|workspace| {
+            let owner = KeyOwner {
                 name: workspace.name.clone(),
                 priority: workspace.priority,
             };
             let keys = workspace.keys.iter();
-            keys.map(move |key| (key.clone(), holder.clone()))
+            keys.map(move |key| (key.clone(), owner.clone()))
         });
         let services = config.services.iter();
         Self {
-            holders: holders.collect(),
+            key_owners: key_owners.collect(),
             services: services
                 .map(|service| (service.name.clone(), service.clone()))
                 .collect(),
@@ -72,12 +72,12 @@
         }
     }
 
-    /// Returns the configuration that it was made of.
+    /// Returns the indexed configuration.
     pub fn config(&self) -> &Arc<RoutingConfig> {
         &self.config
     }
 
-    /// Returns the number of its version.
+    /// Returns the version number of the configuration.
     pub fn version(&self) -> u64 {
         self.config.version
     }
@@ -87,12 +87,12 @@
         self.services.get(name)
     }
 
-    /// Finds the route of a request to `host` and `path` whose caller presents
-    /// `key`: of the routes of its host the one with the longest prefix.
+    /// Finds the route of a request to `host` and `path` whose caller presents `key`: the route
+    /// of the host with the longest matching prefix.
     ///
     /// # Errors
     ///
-    /// Returns why it has none.
+    /// Fails if no route matches, or if the route requires a key and `key` is not known.
     pub fn find(&self, host: &str, path: &str, key: Option<&str>) -> Result<Matched, Unroutable> {
         let host = without_port(host).to_ascii_lowercase();
         let routes = self.hosts.get(&host).ok_or(Unroutable::NoRoute)?;
@@ -100,14 +100,14 @@
             .iter()
             .find(|route| path.starts_with(&route.path_prefix))
             .ok_or(Unroutable::NoRoute)?;
-        let holder = key.and_then(|key| self.holders.get(key));
-        if holder.is_none() && !route.is_public && !self.holders.is_empty() {
+        let owner = key.and_then(|key| self.key_owners.get(key));
+        if owner.is_none() && !route.is_public && !self.key_owners.is_empty() {
             return Err(Unroutable::UnknownKey);
         }
         Ok(Matched {
-            workspace: holder.map(|holder| holder.name.clone()),
-            priority: holder
-                .and_then(|holder| holder.priority)
+            workspace: owner.map(|owner| owner.name.clone()),
+            priority: owner
+                .and_then(|owner| owner.priority)
                 .unwrap_or(route.priority),
             route: Arc::clone(route),
         })
