--- a/crates/core/src/poison.rs
+++ b/crates/core/src/poison.rs
@@ -1,14 +1,14 @@
-//! Requests that end each backend server that runs them ("poison requests").
+//! Requests that crash each backend server that runs them ("poison requests").
 //!
-//! A caller who comes again with one has a new request identifier, and reaches
-//! another instance. What is known of it therefore goes by a digest of what the
-//! request asks for, and is shared by all instances: without that, N attempts end
-//! N servers, with all that these run for others.
+//! A caller that retries such a request uses a new request identifier and may reach another
+//! instance. So crashes are tracked by a digest of the request's content and shared by all
+//! instances. Otherwise N attempts would crash N servers, together with the requests that these
+//! run for other callers.
 //!
-//! A request under which a server has ended is a suspect: one copy of it runs at a
-//! time, by a permit of the instance that schedules. Under the third server it is
-//! quarantined: refused at once, and tried again once in a while. A whole answer,
-//! or a server that turns out to run on, clears it.
+//! A request under which a server has crashed is a suspect: one copy of it runs at a time, with
+//! a permit from the scheduler. After the third crash it is quarantined: refused immediately,
+//! and tried again from time to time. A complete response clears it, and so does the discovery
+//! that the server is still running.
 
 mod digest;
 mod evidence;
--- a/crates/core/src/poison/evidence.rs
+++ b/crates/core/src/poison/evidence.rs
@@ -1,16 +1,16 @@
-//! Tells the end of a backend server from the loss of a connection to it.
+//! Distinguishes the crash of a backend server from the loss of a connection to it.
 
 use serde::{Deserialize, Serialize};
 
-/// What says that a server has ended under a request.
+/// Evidence that a server has crashed under a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Evidence {
-    /// Its connection broke, and its address refused the next one, while another
-    /// server of its availability zone was reached.
+    /// Its connection broke and its address refused the next one, while another server in its
+    /// availability zone was reachable.
     Refused,
-    /// It is registered again, from a later start.
+    /// It is registered again with a later start.
     Restarted,
-    /// It left the register without having said that it leaves.
+    /// Its register entry expired without an announced departure.
     Lapsed,
 }
 
@@ -25,49 +25,49 @@
     }
 }
 
-/// What the register says of a run of a server.
+/// State of a server run in the register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Registered {
-    /// It takes work.
+    /// It accepts requests.
     Ready,
-    /// It has said that it leaves.
+    /// It has announced its departure.
     Leaving,
-    /// Another run has its place.
+    /// A later run of the server is registered.
     Replaced,
-    /// It is not there any more.
+    /// It is no longer registered.
     Gone,
 }
 
-/// What an attempt to connect to a server says.
+/// Result of an attempt to connect to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Probe {
-    /// A connection could be made.
+    /// The connection was established.
     Open,
-    /// Nothing listens at its address.
+    /// The address refused the connection.
     Refused,
-    /// Nothing came back, as in a network partition.
+    /// There was no reply, as in a network partition.
     Unknown,
 }
 
-/// What became of a server whose connection was lost.
+/// Status of a server whose connection was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LostServerStatus {
-    /// It has ended.
+    /// It has crashed.
     Ended(Evidence),
-    /// It ended as planned, or runs on: its requests are not to blame.
+    /// It stopped as planned or is still running: its requests are not the cause.
     NotToBlame,
-    /// Nothing is known yet; the register may tell.
+    /// Not known yet; the register may show it later.
     Unknown,
 }
 
-/// Decides what became of a server whose connection to a request was lost while the
-/// register says `registered`, an attempt to connect to it `probe`, and one to another
-/// server of its availability zone `neighbour`.
+/// Returns the status of a server whose connection was lost during a request, by its state in
+/// the register, a connection attempt to it (`probe`) and one to another server in its
+/// availability zone (`neighbour`).
 ///
-/// One that was not registered any more had left; some leave without saying so. A
-/// refused connection alone is no end: network partitions refuse connections too, to all
-/// servers of a zone (all 21 refused ones of a day with a partition that resets
-/// connections, whose servers ran on).
+/// A server that is no longer registered had left; some servers leave without an announcement.
+/// A refused connection alone is no evidence of a crash, since network partitions may also
+/// refuse the connections to all servers of a zone: on a day with a partition that resets
+/// connections, the servers of all 21 refused connections were still running.
 pub fn status_at_loss(registered: Registered, probe: Probe, neighbour: Probe) -> LostServerStatus {
     match (registered, probe) {
         (Registered::Leaving | Registered::Gone, _) => LostServerStatus::NotToBlame,
@@ -80,9 +80,9 @@
     }
 }
 
-/// Decides the same some time later, for a server that was registered when its
-/// connection was lost and of which nothing was known then. Behind a partition entries
-/// lapse of servers that run on, so that a neighbour has to be reached for it.
+/// Returns the status some time after the loss, for a server that was registered and of unknown
+/// status at the loss. Behind a partition, entries of running servers expire, so that an expired
+/// entry counts as a crash only if another server in the zone is reachable.
 pub fn status_after_loss(
     registered: Registered,
     probe: Probe,
@@ -98,9 +98,9 @@
     }
 }
 
-/// Chooses up to `most` of the servers that could be tried beside one, spread over all.
-pub fn sample_evenly<T>(servers: impl IntoIterator<Item = T>, most: usize) -> Vec<T> {
+/// Returns up to `max` of `servers` at even intervals.
+pub fn sample_evenly<T>(servers: impl IntoIterator<Item = T>, max: usize) -> Vec<T> {
     let servers: Vec<T> = servers.into_iter().collect();
-    let step = servers.len().div_ceil(most.max(1)).max(1);
+    let step = servers.len().div_ceil(max.max(1)).max(1);
     servers.into_iter().step_by(step).collect()
 }
--- a/crates/core/src/poison/permits.rs
+++ b/crates/core/src/poison/permits.rs
@@ -1,4 +1,4 @@
-//! Lets one copy of a suspect run at a time.
+//! Issues permits, so that one copy of a suspect runs at a time.
 
 use std::collections::{HashMap, HashSet};
 
@@ -9,105 +9,114 @@
     tracker::{CRASHES_TO_ISOLATE, CrashTracker},
 };
 
-/// Right to run one copy of a suspect.
+/// Permit to run one copy of a suspect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Permit {
     /// Number of the permit.
     pub number: u64,
-    /// Place among the permits of requests under which two servers or more have ended,
-    /// from 0, for one of these: they run at different servers by it, the least busy ones,
-    /// and take fewer runs of others with them. On emulated days of 8, 30 and 295 instances
-    /// with three such requests, sums of five seeds, 393, 249 and 246 were lost; 430, 288
-    /// and 309 without.
+    /// For a request under which at least two servers have crashed, its index among the permits
+    /// of such requests, from 0. By this index they run at different servers, the least loaded
+    /// ones, and interrupt fewer runs of other requests. On emulated days of 8, 30 and 295
+    /// instances with three such requests (sums of five seeds), 393, 249 and 246 runs were lost;
+    /// 430, 288 and 309 without the index.
     pub place: Option<u32>,
 }
 
-/// What comes of asking for a permit.
+/// Result of a permit request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitState {
-    /// The asker has this permit.
+    /// The permit was granted.
     Granted(Permit),
-    /// Another copy runs.
+    /// Another copy is running.
     Out {
-        /// Time after which its permit lapses, in ms.
+        /// Time until its permit expires, in ms.
         lapses_in_ms: u64,
     },
-    /// The request is quarantined, for these ends.
+    /// The request is quarantined because of these crashes.
     Quarantined(Vec<CrashReport>),
 }
 
-/// Permits that are out, each until it is given back or lapses.
+/// Active permits, each until it is released or expires.
 #[derive(Debug, Default)]
 pub struct Permits {
-    out: HashMap<RequestDigest, Out>,
-    last: u64,
+    active: HashMap<RequestDigest, ActivePermit>,
+    last_number: u64,
 }
 
 #[derive(Debug)]
-struct Out {
+struct ActivePermit {
     permit: Permit,
     until_ms: u64,
 }
 
 impl Permits {
-    /// Answers the question for a permit for `lease_ms` by what `book` knows of the request.
+    /// Handles the request for a permit for `lease_ms` by the request's status in `tracker`.
     pub fn grant(
         &mut self,
         now_ms: u64,
-        book: &CrashTracker,
+        tracker: &CrashTracker,
         digest: RequestDigest,
         lease_ms: u64,
     ) -> PermitState {
-        let standing = book.status(now_ms, &digest);
-        if let QuarantineStatus::Quarantined { .. } = standing {
-            return PermitState::Quarantined(book.records(now_ms, &digest));
+        let status = tracker.status(now_ms, &digest);
+        if let QuarantineStatus::Quarantined { .. } = status {
+            return PermitState::Quarantined(tracker.records(now_ms, &digest));
         }
-        match self.take(now_ms, digest, standing.ends(), lease_ms) {
+        match self.take(now_ms, digest, status.ends(), lease_ms) {
             Ok(permit) => PermitState::Granted(permit),
             Err(lapses_in_ms) => PermitState::Out { lapses_in_ms },
         }
     }
 
-    /// Gives the permit for a request under which `ends` servers have ended out for
-    /// `lease_ms` at most, or tells in how many ms the one that is out lapses.
+    /// Issues the permit for a request under which `crashes` servers have crashed, for `lease_ms`
+    /// at most.
     ///
     /// # Errors
     ///
-    /// Fails while another copy has the permit.
+    /// Fails while another copy has the permit; returns the time until that permit expires, in
+    /// ms.
     pub fn take(
         &mut self,
         now_ms: u64,
         digest: RequestDigest,
-        ends: u32,
+        crashes: u32,
         lease_ms: u64,
     ) -> Result<Permit, u64> {
-        self.out.retain(|_, out| out.until_ms > now_ms);
-        if let Some(out) = self.out.get(&digest) {
-            return Err(out.until_ms - now_ms);
+        self.active.retain(|_, active| active.until_ms > now_ms);
+        if let Some(active) = self.active.get(&digest) {
+            return Err(active.until_ms - now_ms);
         }
-        self.last += 1;
-        let place = (ends >= CRASHES_TO_ISOLATE).then(|| self.free_place());
+        self.last_number += 1;
+        let place = (crashes >= CRASHES_TO_ISOLATE).then(|| self.lowest_free_index());
         let permit = Permit {
-            number: self.last,
+            number: self.last_number,
             place,
         };
         let until_ms = now_ms + lease_ms;
-        self.out.insert(digest, Out { permit, until_ms });
+        self.active
+            .insert(digest, ActivePermit { permit, until_ms });
         Ok(permit)
     }
 
-    fn free_place(&self) -> u32 {
-        let taken = self.out.values().filter_map(|out| out.permit.place);
+    fn lowest_free_index(&self) -> u32 {
+        let taken = self
+            .active
+            .values()
+            .filter_map(|active| active.permit.place);
         let taken: HashSet<u32> = taken.collect();
         (0..=taken.len() as u32)
             .find(|place| !taken.contains(place))
             .unwrap_or(0)
     }
 
-    /// Takes a permit back; one that has lapsed is nobody's any more.
+    /// Releases a permit; has no effect if it has expired.
     pub fn release(&mut self, digest: &RequestDigest, permit: Permit) {
-        if self.out.get(digest).is_some_and(|out| out.permit == permit) {
-            self.out.remove(digest);
+        if self
+            .active
+            .get(digest)
+            .is_some_and(|active| active.permit == permit)
+        {
+            self.active.remove(digest);
         }
     }
 }
--- a/crates/core/src/poison/record.rs
+++ b/crates/core/src/poison/record.rs
@@ -1,56 +1,56 @@
-//! What instances tell each other of servers that ended under requests.
+//! Reports of server crashes that instances exchange, and the status that follows from them.
 
 use serde::{Deserialize, Serialize};
 
 use super::{Evidence, RequestDigest};
 use crate::ids::BackendName;
 
-/// The end of one run of a server under one request.
+/// The crash of one server run under one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
     /// The request.
     pub digest: RequestDigest,
     /// Run of the server.
     pub server: BackendName,
-    /// What says that it has ended.
+    /// Evidence of the crash.
     pub evidence: Evidence,
-    /// Time since then, in ms.
+    /// Time since the crash, in ms.
     pub age_ms: u64,
-    /// Whether it does not count any more: the request was answered since, or the
-    /// server runs on.
+    /// Whether the report no longer counts: the request has been answered since, or the server
+    /// is still running.
     pub is_withdrawn: bool,
 }
 
-/// What a book tells one that knows it up to an earlier revision.
+/// Update of a crash tracker, relative to an earlier revision of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AdvertisedCrashes {
-    /// Ends that it does not know, the longest known first.
+    /// Reports since the earlier revision, the earliest changes first.
     pub records: Vec<CrashReport>,
-    /// Revision up to which it knows the book with them.
+    /// Revision up to which the receiver knows the tracker afterwards.
     pub revision: u64,
 }
 
-/// Where a request stands.
+/// Status of a request with regard to the crashes under it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineStatus {
-    /// Nothing is known against it.
+    /// No crash counts against it.
     Clear,
-    /// Servers have ended under it: one copy of it runs at a time.
+    /// Servers have crashed under it: one copy of it runs at a time.
     Suspect {
-        /// How many.
+        /// Number of crashes that count.
         ends: u32,
     },
     /// It is refused.
     Quarantined {
-        /// How many servers have ended under it.
+        /// Number of crashes that count.
         ends: u32,
-        /// Time until it is tried again, in ms.
+        /// Time until a trial run is allowed, in ms.
         retry_after_ms: u64,
     },
 }
 
 impl QuarantineStatus {
-    /// Returns how many servers have ended under the request.
+    /// Returns the number of crashes that count against the request.
     pub fn ends(self) -> u32 {
         match self {
             Self::Clear => 0,
@@ -59,22 +59,22 @@
     }
 }
 
-/// How long requests are remembered, and how many.
+/// Settings of the quarantine: durations and limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuarantineSettings {
-    /// Time for which a request is refused after the third server has ended under
-    /// it, and for which one with fewer ends is remembered, in ms.
+    /// Time for which a request is refused after the third crash under it, and for which one
+    /// with fewer crashes is tracked, in ms.
     pub quarantine_ms: u64,
-    /// Most requests that are remembered. Beyond it those are given up first under
-    /// which the fewest servers ended, the oldest of them first.
+    /// Most tracked requests. Beyond that, requests with the fewest crashes are evicted first,
+    /// the oldest of them first.
     pub max_requests: usize,
-    /// Most ends that are told in one message.
+    /// Most reports in one message.
     pub told_at_once: usize,
 }
 
 impl Default for QuarantineSettings {
-    /// Ten minutes, about as long as operators take to mend or replace a server;
-    /// 4,096 requests of some 300 bytes; messages of 4 KB, at most two a second.
+    /// Ten minutes, about as long as operators take to repair or replace a server; 4,096 requests
+    /// of about 300 bytes each; messages of 4 KB, at most two a second.
     fn default() -> Self {
         Self {
             quarantine_ms: 600_000,
--- a/crates/core/src/poison/stored.rs
+++ b/crates/core/src/poison/stored.rs
@@ -1,4 +1,4 @@
-//! Quarantined requests as they are kept where they outlast every instance.
+//! Persistent records of quarantined requests, which outlast all instances.
 
 use std::collections::BTreeMap;
 
@@ -7,31 +7,32 @@
 use super::{CrashTracker, Evidence, RequestDigest};
 use crate::ids::BackendName;
 
-/// Part of the time for which a log keeps its records after which they are written again:
-/// two writes may fail before any is lost.
+/// Divisor of a log's retention time that gives the renewal interval of its records; two writes
+/// may fail before a record is lost.
 const RENEWAL_DIVISOR: u64 = 3;
 
-/// A quarantined request.
+/// Persistent record of a quarantined request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredCrashes {
     /// The request.
     pub digest: RequestDigest,
-    /// The ends that count; none once the request is forgotten.
+    /// Crashes that count; empty to remove the request.
     pub ends: Vec<StoredCrash>,
 }
 
-/// One of these ends. When it was is not kept: clocks of different machines differ, and
-/// all that could tell have started again, so that it counts from when it is read.
+/// A crash in a persistent record. It has no time, since the clocks of different machines differ
+/// and the instances that knew its age may all have restarted; its age counts from when it is
+/// read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredCrash {
     /// Run of the server.
     pub server: BackendName,
-    /// What says that it has ended.
+    /// Evidence of the crash.
     pub evidence: Evidence,
 }
 
 impl StoredCrashes {
-    /// Returns what is kept of a request that is forgotten.
+    /// Creates the record that removes a request.
     pub(super) fn empty(digest: RequestDigest) -> Self {
         Self {
             digest,
@@ -40,22 +41,23 @@
     }
 }
 
-/// What a record of the log changes.
+/// Change by a record of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoredChange {
-    /// The log keeps a request, with all these ends.
+    /// The log has a request with all these crashes.
     Persisted(StoredCrashes),
-    /// The log keeps a request no more, and these ends count no more.
+    /// The request was removed from the log, and these crashes no longer count.
     Removed(StoredCrashes),
 }
 
-/// What the records of a log come to, from the first to the last that was read.
+/// State that results from the records of a log, from the first to the last one read.
 #[derive(Debug, Default)]
 pub struct StoredRecords(BTreeMap<RequestDigest, Vec<StoredCrash>>);
 
 impl StoredRecords {
-    /// Takes over the next record. Two may have written beside each other, as while zones
-    /// are cut off, so that one adds to those before; one without ends takes them back.
+    /// Applies the next record. Instances may write concurrently, for example during a
+    /// partition, so that a record adds to the earlier ones of its request; a record without
+    /// crashes removes the request.
     pub fn add(&mut self, stored: StoredCrashes) -> StoredChange {
         let StoredCrashes { digest, ends } = stored;
         if ends.is_empty() {
@@ -75,34 +77,35 @@
     }
 }
 
-/// When a log that keeps its records for some time is written.
+/// Schedules the renewal of records in a log with limited retention.
 #[derive(Debug)]
 pub struct Renewal {
-    renewal_ms: u64,
-    due_ms: u64,
+    interval_ms: u64,
+    due_at_ms: u64,
 }
 
 impl Renewal {
-    /// Begins with all of it due: whoever wrote before may have been about to.
+    /// Creates a schedule with a renewal due now, since the previous writer may have stopped
+    /// just before its own.
     pub fn new(retention_ms: u64) -> Self {
         Self {
-            renewal_ms: retention_ms / RENEWAL_DIVISOR,
-            due_ms: 0,
+            interval_ms: retention_ms / RENEWAL_DIVISOR,
+            due_at_ms: 0,
         }
     }
 
-    /// Returns what is to be written now of a book.
-    pub fn to_write(&self, now_ms: u64, book: &CrashTracker) -> Vec<StoredCrashes> {
-        match now_ms >= self.due_ms {
-            true => book.all_persistable(),
-            false => book.unpersisted(),
+    /// Returns the records of `tracker` that are to be written now.
+    pub fn to_write(&self, now_ms: u64, tracker: &CrashTracker) -> Vec<StoredCrashes> {
+        match now_ms >= self.due_at_ms {
+            true => tracker.all_persistable(),
+            false => tracker.unpersisted(),
         }
     }
 
-    /// Notes that all that was to be written at `now_ms` is.
+    /// Records that everything that was to be written at `now_ms` has been written.
     pub fn on_written(&mut self, now_ms: u64) {
-        if now_ms >= self.due_ms {
-            self.due_ms = now_ms + self.renewal_ms;
+        if now_ms >= self.due_at_ms {
+            self.due_at_ms = now_ms + self.interval_ms;
         }
     }
 }
--- a/crates/core/src/poison/tracker.rs
+++ b/crates/core/src/poison/tracker.rs
@@ -1,7 +1,7 @@
-//! Keeps which servers ended under which requests.
+//! Tracks which servers have crashed under which requests.
 //!
-//! Books of different instances merge in any order to the same: an end is known by the
-//! run of its server, and once withdrawn it stays so.
+//! Trackers of different instances converge regardless of the order in which they merge reports:
+//! a crash is identified by the server run, and a withdrawal is final.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -11,82 +11,81 @@
 };
 use crate::ids::BackendName;
 
-/// Servers that end under a request before it is quarantined.
+/// Number of crashes under a request after which it is quarantined.
 pub const CRASHES_TO_QUARANTINE: u32 = 3;
-/// Servers that end under a request before it goes apart from all others that are
-/// suspects too.
+/// Number of crashes under a request after which it is isolated from the other suspects.
 pub const CRASHES_TO_ISOLATE: u32 = 2;
-/// Doublings of the time for which a request is refused, one for each further server
-/// that a trial ends: ten minutes become eleven hours.
-const MOST_DOUBLINGS: u32 = 6;
-/// Most ends of one request that are remembered: with those of its trials, enough for
-/// the longest quarantine.
-const MOST_ENDS: usize = 10;
-
-/// One end of a server under a request.
+/// Most doublings of the quarantine time, one for each further crash in a trial run: ten minutes
+/// become eleven hours.
+const MAX_DOUBLINGS: u32 = 6;
+/// Most tracked crashes of one request; with those of its trial runs, enough for the longest
+/// quarantine.
+const MAX_CRASHES: usize = 10;
+
+/// One crash of a server under a request.
 #[derive(Clone, Debug)]
-struct End {
+struct Crash {
     server: BackendName,
     evidence: Evidence,
     at_ms: u64,
     is_withdrawn: bool,
-    /// Whether this instance saw it.
-    is_own: bool,
+    /// Whether this instance observed or withdrew it.
+    is_local: bool,
 }
 
-/// What is known of one request.
+/// Tracked state of one request.
 #[derive(Clone, Debug, Default)]
 struct Entry {
-    ends: Vec<End>,
-    /// Revision of its last change.
+    crashes: Vec<Crash>,
+    /// Revision of the last change.
     revision: u64,
-    /// Ends that are kept outside.
-    stored_ends: u32,
+    /// Number of crashes in the persistent record.
+    stored_crashes: u32,
 }
 
 impl Entry {
-    /// Iterates over the ends that count.
-    fn live(&self) -> impl Iterator<Item = &End> {
-        self.ends.iter().filter(|end| !end.is_withdrawn)
+    /// Iterates over the crashes that count.
+    fn counting(&self) -> impl Iterator<Item = &Crash> {
+        self.crashes.iter().filter(|crash| !crash.is_withdrawn)
     }
 
     fn count(&self) -> u32 {
-        self.live().count() as u32
+        self.counting().count() as u32
     }
 
-    fn last_end_ms(&self) -> u64 {
-        let last = self.live().map(|end| end.at_ms).max();
-        last.or(self.ends.iter().map(|end| end.at_ms).max())
+    fn last_crash_ms(&self) -> u64 {
+        let last = self.counting().map(|crash| crash.at_ms).max();
+        last.or(self.crashes.iter().map(|crash| crash.at_ms).max())
             .unwrap_or(0)
     }
 
     fn quarantine_until_ms(&self, settings: &QuarantineSettings) -> Option<u64> {
         let beyond = self.count().checked_sub(CRASHES_TO_QUARANTINE)?;
-        let quarantine_ms = settings.quarantine_ms << beyond.min(MOST_DOUBLINGS);
-        Some(self.last_end_ms() + quarantine_ms)
+        let quarantine_ms = settings.quarantine_ms << beyond.min(MAX_DOUBLINGS);
+        Some(self.last_crash_ms() + quarantine_ms)
     }
 
-    /// Returns the time at which it is forgotten, in ms: one that was quarantined has
-    /// had as much time again for its trial.
-    fn forgotten_at_ms(&self, settings: &QuarantineSettings) -> u64 {
+    /// Returns the time from which the request is no longer tracked, in ms. After a quarantine,
+    /// it is tracked for another `quarantine_ms`, so that a trial run can take place.
+    fn expires_at_ms(&self, settings: &QuarantineSettings) -> u64 {
         let until_ms = self.quarantine_until_ms(settings);
-        until_ms.unwrap_or(self.last_end_ms()) + settings.quarantine_ms
+        until_ms.unwrap_or(self.last_crash_ms()) + settings.quarantine_ms
     }
 
     fn records(&self, now_ms: u64, digest: RequestDigest) -> impl Iterator<Item = CrashReport> {
-        self.ends.iter().map(move |end| CrashReport {
+        self.crashes.iter().map(move |crash| CrashReport {
             digest,
-            server: end.server.clone(),
-            evidence: end.evidence,
-            age_ms: now_ms.saturating_sub(end.at_ms),
-            is_withdrawn: end.is_withdrawn,
+            server: crash.server.clone(),
+            evidence: crash.evidence,
+            age_ms: now_ms.saturating_sub(crash.at_ms),
+            is_withdrawn: crash.is_withdrawn,
         })
     }
 
-    fn to_store(&self, digest: RequestDigest) -> StoredCrashes {
-        let ends = self.live().map(|end| StoredCrash {
-            server: end.server.clone(),
-            evidence: end.evidence,
+    fn to_stored(&self, digest: RequestDigest) -> StoredCrashes {
+        let ends = self.counting().map(|crash| StoredCrash {
+            server: crash.server.clone(),
+            evidence: crash.evidence,
         });
         StoredCrashes {
             digest,
@@ -94,36 +93,36 @@
         }
     }
 
-    /// Merges an end in; tells whether anything changed.
-    fn merge(&mut self, now_ms: u64, record: CrashReport, is_own: bool) -> bool {
+    /// Merges a report; returns whether anything changed.
+    fn merge(&mut self, now_ms: u64, record: CrashReport, is_local: bool) -> bool {
         let at_ms = now_ms.saturating_sub(record.age_ms);
-        let mut known = self.ends.iter_mut();
-        if let Some(known) = known.find(|end| end.server == record.server) {
-            // Whoever saw it first is nearest to it.
+        let mut known = self.crashes.iter_mut();
+        if let Some(known) = known.find(|crash| crash.server == record.server) {
+            // The earliest observation is the closest to the crash.
             known.at_ms = known.at_ms.min(at_ms);
-            let is_new = record.is_withdrawn && !known.is_withdrawn;
+            let is_newly_withdrawn = record.is_withdrawn && !known.is_withdrawn;
             known.is_withdrawn |= record.is_withdrawn;
-            known.is_own |= is_own;
-            return is_new;
+            known.is_local |= is_local;
+            return is_newly_withdrawn;
         }
-        if self.ends.len() >= MOST_ENDS {
-            let Some(oldest) = self.ends.iter().position(|end| end.is_withdrawn) else {
+        if self.crashes.len() >= MAX_CRASHES {
+            let Some(oldest) = self.crashes.iter().position(|crash| crash.is_withdrawn) else {
                 return false;
             };
-            self.ends.remove(oldest);
+            self.crashes.remove(oldest);
         }
-        self.ends.push(End {
+        self.crashes.push(Crash {
             server: record.server,
             evidence: record.evidence,
             at_ms,
             is_withdrawn: record.is_withdrawn,
-            is_own,
+            is_local,
         });
         true
     }
 }
 
-/// The ends of servers by request.
+/// Server crashes by request.
 #[derive(Debug)]
 pub struct CrashTracker {
     settings: QuarantineSettings,
@@ -132,12 +131,12 @@
     by_revision: BTreeMap<u64, RequestDigest>,
     revision: u64,
     answered: RecentAnswers,
-    /// Requests that were forgotten and are still kept outside.
-    forgotten: Vec<RequestDigest>,
+    /// Requests that are no longer tracked and whose persistent records are to be removed.
+    to_remove: Vec<RequestDigest>,
 }
 
 impl CrashTracker {
-    /// Creates a book that knows nothing.
+    /// Creates an empty tracker.
     pub fn new(settings: QuarantineSettings) -> Self {
         Self {
             settings,
@@ -145,26 +144,26 @@
             by_revision: BTreeMap::new(),
             revision: 0,
             answered: RecentAnswers::default(),
-            forgotten: Vec::new(),
+            to_remove: Vec::new(),
         }
     }
 
-    /// Returns the number of changes that were made to it.
+    /// Returns the number of changes so far.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Returns how many requests are remembered.
+    /// Returns the number of tracked requests.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Tells whether no request is remembered.
+    /// Tells whether no request is tracked.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Tells where a request stands.
+    /// Returns the status of a request.
     pub fn status(&self, now_ms: u64, digest: &RequestDigest) -> QuarantineStatus {
         let Some(entry) = self.entries.get(digest) else {
             return QuarantineStatus::Clear;
@@ -178,29 +177,29 @@
                 retry_after_ms,
             };
         }
-        if ends == 0 || now_ms >= entry.forgotten_at_ms(&self.settings) {
+        if ends == 0 || now_ms >= entry.expires_at_ms(&self.settings) {
             return QuarantineStatus::Clear;
         }
         QuarantineStatus::Suspect { ends }
     }
 
-    /// Returns how many servers have ended under a request.
+    /// Returns the number of crashes that count against a request.
     pub fn ends(&self, now_ms: u64, digest: &RequestDigest) -> u32 {
         self.status(now_ms, digest).ends()
     }
 
-    /// Notes an end that this instance saw, unless the request was answered lately: one
-    /// that many callers' programs send all the time is at each server that ends. Returns
-    /// whether it counts.
+    /// Records a crash that this instance observed, unless the request was answered recently: a
+    /// request that many callers send continuously is running on any server that crashes.
+    /// Returns whether the crash counts.
     pub fn on_crash(&mut self, now_ms: u64, record: CrashReport) -> bool {
-        if self.answered.has(now_ms, &record.digest) {
+        if self.answered.contains(now_ms, &record.digest) {
             return false;
         }
         self.merge(now_ms, record, true);
         true
     }
 
-    /// Takes over ends that others saw; tells whether any was new.
+    /// Merges reports of other instances; returns whether anything changed.
     pub fn on_reports(&mut self, now_ms: u64, records: Vec<CrashReport>) -> bool {
         let before = self.revision;
         for record in records {
@@ -209,75 +208,76 @@
         self.revision != before
     }
 
-    /// Takes over what is kept of requests outside.
+    /// Merges persistent records.
     pub fn on_loaded(&mut self, now_ms: u64, stored: Vec<StoredCrashes>) {
         for StoredCrashes { digest, ends } in stored {
-            let stored_ends = ends.len() as u32;
-            let records = ends.into_iter().map(|end| CrashReport {
+            let stored_crashes = ends.len() as u32;
+            let records = ends.into_iter().map(|crash| CrashReport {
                 digest,
-                server: end.server,
-                evidence: end.evidence,
+                server: crash.server,
+                evidence: crash.evidence,
                 age_ms: 0,
                 is_withdrawn: false,
             });
             self.on_reports(now_ms, records.collect());
             if let Some(entry) = self.entries.get_mut(&digest) {
-                // There may be more by now, which are to be kept too.
-                entry.stored_ends = stored_ends;
+                // Crashes that the record lacks are still to be persisted.
+                entry.stored_crashes = stored_crashes;
             }
         }
     }
 
-    /// Takes over what a log that others write too says next.
+    /// Applies the next change of a log that other instances write as well.
     pub fn on_log_change(&mut self, now_ms: u64, change: StoredChange) {
         match change {
             StoredChange::Persisted(stored) => self.on_loaded(now_ms, vec![stored]),
             StoredChange::Removed(stored) => {
-                let is_meant = |end: &End| stored.ends.iter().any(|s| s.server == end.server);
-                self.withdraw(stored.digest, is_meant);
+                let is_affected =
+                    |crash: &Crash| stored.ends.iter().any(|s| s.server == crash.server);
+                self.withdraw(stored.digest, is_affected);
                 self.on_persisted(&StoredCrashes::empty(stored.digest));
             }
         }
     }
 
-    /// Notes a whole answer of a server to a request, which clears it. Tells whether
-    /// anything was known against it.
+    /// Records a complete response to a request, which clears it. Returns whether any crash
+    /// counted against it.
     pub fn on_answered(&mut self, now_ms: u64, digest: RequestDigest) -> bool {
         self.answered.add(now_ms, digest);
         self.withdraw(digest, |_| true)
     }
 
-    /// Notes that a server runs on. Tells whether it had been taken for ended.
+    /// Records that a server is still running. Returns whether it was considered crashed.
     pub fn on_still_running(&mut self, digest: RequestDigest, server: &BackendName) -> bool {
-        self.withdraw(digest, |end| end.server == *server)
+        self.withdraw(digest, |crash| crash.server == *server)
     }
 
-    fn withdraw(&mut self, digest: RequestDigest, is_meant: impl Fn(&End) -> bool) -> bool {
+    fn withdraw(&mut self, digest: RequestDigest, is_affected: impl Fn(&Crash) -> bool) -> bool {
         let Some(entry) = self.entries.get_mut(&digest) else {
             return false;
         };
         let mut has_changed = false;
-        for end in entry.ends.iter_mut().filter(|end| is_meant(end)) {
-            has_changed |= !end.is_withdrawn;
-            end.is_withdrawn = true;
-            end.is_own = true;
+        for crash in entry.crashes.iter_mut().filter(|crash| is_affected(crash)) {
+            has_changed |= !crash.is_withdrawn;
+            crash.is_withdrawn = true;
+            crash.is_local = true;
         }
         if has_changed {
-            self.note_change(digest);
+            self.record_change(digest);
         }
         has_changed
     }
 
-    fn merge(&mut self, now_ms: u64, record: CrashReport, is_own: bool) {
+    fn merge(&mut self, now_ms: u64, record: CrashReport, is_local: bool) {
         let digest = record.digest;
         let entry = self.entries.entry(digest).or_default();
-        if entry.merge(now_ms, record, is_own) {
-            self.note_change(digest);
+        if entry.merge(now_ms, record, is_local) {
+            self.record_change(digest);
             self.evict_excess();
         }
     }
 
-    fn note_change(&mut self, digest: RequestDigest) {
+    fn record_change(&mut self, digest: RequestDigest) {
         self.revision += 1;
         if let Some(entry) = self.entries.get_mut(&digest) {
             self.by_revision.remove(&entry.revision);
@@ -286,16 +286,15 @@
         }
     }
 
-    /// Gives up the request with the fewest ends, the oldest of them, where there are
-    /// too many: callers who vary a request end a server with each, and none of these
-    /// comes again.
+    /// Evicts the oldest request among those with the fewest crashes, if there are too many:
+    /// callers that vary a request crash one server with each variant and never repeat it.
     fn evict_excess(&mut self) {
         if self.entries.len() <= self.settings.max_requests {
             return;
         }
         let entries = self.entries.iter();
         let least =
-            entries.min_by_key(|(digest, entry)| (entry.count(), entry.last_end_ms(), **digest));
+            entries.min_by_key(|(digest, entry)| (entry.count(), entry.last_crash_ms(), **digest));
         if let Some(digest) = least.map(|(digest, _)| *digest) {
             self.remove(&digest);
         }
@@ -306,115 +305,118 @@
             return;
         };
         self.by_revision.remove(&entry.revision);
-        if entry.stored_ends > 0 {
-            self.forgotten.push(*digest);
+        if entry.stored_crashes > 0 {
+            self.to_remove.push(*digest);
         }
     }
 
-    /// Forgets requests whose time has come.
+    /// Removes the requests whose tracking time has passed.
     pub fn forget_expired(&mut self, now_ms: u64) {
         let settings = self.settings;
         let entries = self.entries.iter();
-        let old = entries.filter(|(_, entry)| now_ms >= entry.forgotten_at_ms(&settings));
-        let old: Vec<RequestDigest> = old.map(|(digest, _)| *digest).collect();
-        for digest in old {
+        let expired = entries.filter(|(_, entry)| now_ms >= entry.expires_at_ms(&settings));
+        let expired: Vec<RequestDigest> = expired.map(|(digest, _)| *digest).collect();
+        for digest in expired {
             self.remove(&digest);
         }
     }
 
-    /// Returns what one does not know that knows the book up to `revision`, as much as
-    /// goes into one message. Where it is more than that, requests with a single end are
-    /// left out: hundreds of servers that crash together leave thousands, none of which
-    /// comes to a second end, and telling each to 295 instances took 575 KB/s.
+    /// Returns the reports since `revision` that fit into one message. If they do not all fit,
+    /// requests with a single crash are omitted: hundreds of servers that crash together leave
+    /// thousands of these, none of which gets a second crash, and sending all of them to 295
+    /// instances took 575 KB/s.
     pub fn reports_since(&self, now_ms: u64, revision: u64) -> AdvertisedCrashes {
-        let most = self.settings.told_at_once;
+        let max_records = self.settings.told_at_once;
         let changed = self.by_revision.range(revision + 1..);
         let changed = changed.filter_map(|(changed_at, digest)| {
             Some((*changed_at, *digest, self.entries.get(digest)?))
         });
         let changed: Vec<(u64, RequestDigest, &Entry)> = changed.collect();
-        let total: usize = changed.iter().map(|(_, _, entry)| entry.ends.len()).sum();
-        let mut told = AdvertisedCrashes {
+        let total: usize = changed
+            .iter()
+            .map(|(_, _, entry)| entry.crashes.len())
+            .sum();
+        let mut update = AdvertisedCrashes {
             records: Vec::new(),
             revision,
         };
         for (changed_at, digest, entry) in changed {
-            if total > most && entry.ends.len() == 1 {
+            if total > max_records && entry.crashes.len() == 1 {
                 continue;
             }
-            let is_full = told.records.len() + entry.ends.len() > most;
-            if is_full && !told.records.is_empty() {
-                return told;
+            let is_full = update.records.len() + entry.crashes.len() > max_records;
+            if is_full && !update.records.is_empty() {
+                return update;
             }
-            told.records.extend(entry.records(now_ms, digest));
-            told.revision = changed_at;
+            update.records.extend(entry.records(now_ms, digest));
+            update.revision = changed_at;
         }
-        told.revision = self.revision;
-        told
+        update.revision = self.revision;
+        update
     }
 
-    /// Returns the ends that this instance saw or withdrew itself.
+    /// Returns the reports of crashes that this instance observed or withdrew.
     pub fn own_reports(&self, now_ms: u64) -> Vec<CrashReport> {
         let entries = self.entries.iter();
-        let own = entries.flat_map(|(digest, entry)| {
+        let reports = entries.flat_map(|(digest, entry)| {
             let records = entry.records(now_ms, *digest);
-            let own = entry.ends.iter().map(|end| end.is_own);
+            let are_local = entry.crashes.iter().map(|crash| crash.is_local);
             records
-                .zip(own)
-                .filter_map(|(record, is_own)| is_own.then_some(record))
+                .zip(are_local)
+                .filter_map(|(record, is_local)| is_local.then_some(record))
         });
-        own.collect()
+        reports.collect()
     }
 
-    /// Returns what is known of one request.
+    /// Returns the reports of one request.
     pub fn records(&self, now_ms: u64, digest: &RequestDigest) -> Vec<CrashReport> {
         let entry = self.entries.get(digest);
         entry.map_or_else(Vec::new, |entry| entry.records(now_ms, *digest).collect())
     }
 
-    /// Returns what is to be kept outside and is not yet, quarantined requests with
-    /// their ends and those that were forgotten or cleared without any. Each is noted
-    /// with [`on_persisted`](Self::on_persisted) once it is kept.
+    /// Returns the records that are not persisted yet: quarantined requests with their crashes,
+    /// and expired or cleared requests without any. Each is confirmed with
+    /// [`on_persisted`](Self::on_persisted) once it is written.
     pub fn unpersisted(&self) -> Vec<StoredCrashes> {
-        let mut to_keep: Vec<StoredCrashes> = Vec::new();
+        let mut to_persist: Vec<StoredCrashes> = Vec::new();
         for (digest, entry) in &self.entries {
             let count = entry.count();
-            if count >= CRASHES_TO_QUARANTINE && entry.stored_ends < count {
-                to_keep.push(entry.to_store(*digest));
+            if count >= CRASHES_TO_QUARANTINE && entry.stored_crashes < count {
+                to_persist.push(entry.to_stored(*digest));
             }
-            if count < CRASHES_TO_QUARANTINE && entry.stored_ends > 0 {
-                to_keep.push(StoredCrashes::empty(*digest));
+            if count < CRASHES_TO_QUARANTINE && entry.stored_crashes > 0 {
+                to_persist.push(StoredCrashes::empty(*digest));
             }
         }
-        to_keep.extend(self.forgotten.iter().copied().map(StoredCrashes::empty));
-        to_keep
+        to_persist.extend(self.to_remove.iter().copied().map(StoredCrashes::empty));
+        to_persist
     }
 
-    /// Returns all that is to be kept outside, whether it is already or not.
+    /// Returns all records to persist, including those that are persisted already.
     pub fn all_persistable(&self) -> Vec<StoredCrashes> {
-        let mut to_keep = self.unpersisted();
+        let mut to_persist = self.unpersisted();
         let entries = self.entries.iter();
-        let kept = entries.filter(|(_, entry)| {
+        let persisted = entries.filter(|(_, entry)| {
             let count = entry.count();
-            count >= CRASHES_TO_QUARANTINE && entry.stored_ends >= count
+            count >= CRASHES_TO_QUARANTINE && entry.stored_crashes >= count
         });
-        to_keep.extend(kept.map(|(digest, entry)| entry.to_store(*digest)));
-        to_keep
+        to_persist.extend(persisted.map(|(digest, entry)| entry.to_stored(*digest)));
+        to_persist
     }
 
-    /// Notes that the store may have lost what it kept: what it still has is to be read, and
-    /// the rest to be kept again.
+    /// Records that the store may have lost its records: those that it still has are read again,
+    /// and the others are persisted again.
     pub fn on_store_lost(&mut self) {
         for entry in self.entries.values_mut() {
-            entry.stored_ends = 0;
+            entry.stored_crashes = 0;
         }
     }
 
-    /// Notes that what was returned to be kept is kept.
-    pub fn on_persisted(&mut self, kept: &StoredCrashes) {
-        self.forgotten.retain(|digest| *digest != kept.digest);
-        if let Some(entry) = self.entries.get_mut(&kept.digest) {
-            entry.stored_ends = kept.ends.len() as u32;
+    /// Records that a record was persisted.
+    pub fn on_persisted(&mut self, stored: &StoredCrashes) {
+        self.to_remove.retain(|digest| *digest != stored.digest);
+        if let Some(entry) = self.entries.get_mut(&stored.digest) {
+            entry.stored_crashes = stored.ends.len() as u32;
         }
     }
 }
