--- a/crates/core/src/forwarding/deadlines.rs
+++ b/crates/core/src/forwarding/deadlines.rs
@@ -11,7 +11,7 @@
 /// Most routes that are tracked; the shortfall of further ones is 0.
 const MAX_ROUTES: usize = 4_096;
 
-/// LongestDeadlines deadlines of one route in the current and the previous window.
+/// Longest deadlines of one route in the current and the previous window.
 #[derive(Clone, Copy, Debug, Default)]
 struct LongestDeadlines {
     began_at_ms: u64,
--- a/crates/core/src/forwarding/grants.rs
+++ b/crates/core/src/forwarding/grants.rs
@@ -7,7 +7,7 @@
 //!
 //! So the scheduler grants each send. During a partition there are several schedulers: each
 //! grants the fraction of the limit that corresponds to the fraction of live instances that it
-//! has seen lately. A scheduler starts with an empty bucket, since its predecessor may just have
+//! has seen lately. A scheduler starts with an empty bucket, since another one may just have
 //! granted the same requests.
 //!
 //! Where all servers of a service are limited, requests are admitted before their stages, at
