--- a/crates/core/src/forwarding/directory.rs
+++ b/crates/core/src/forwarding/directory.rs
@@ -50,13 +50,13 @@
     /// earlier cursor may know servers that this directory never had.
     changes_from: Cursor,
     /// Runs that have left; later entries of them don't make them available again.
-    left: HashSet<BackendName>,
+    departed: HashSet<BackendName>,
     /// The same runs in the order of their departure.
-    left_order: VecDeque<BackendName>,
+    departure_order: VecDeque<BackendName>,
 }
 
-/// Most tracked runs that have left: an hour at one departure per second.
-const MAX_LEFT: usize = 4_096;
+/// Most tracked departed runs: an hour at one departure per second.
+const MAX_DEPARTED: usize = 4_096;
 /// Most changes retained for incremental updates: one of each server in a fleet of twice the
 /// largest planned size.
 const MAX_CHANGES: usize = 4_096;
@@ -94,7 +94,7 @@
 
     /// Returns the state in the register of the run `entry`, which was registered before.
     pub fn registered(&self, entry: &ServerEntry) -> Registered {
-        if self.left.contains(&entry.id) {
+        if self.departed.contains(&entry.id) {
             return Registered::Leaving;
         }
         match self.entries.get(&entry.registered_as) {
@@ -201,7 +201,7 @@
                 entry.started_ms = known.started_ms;
             }
         }
-        if self.left.contains(&entry.id) {
+        if self.departed.contains(&entry.id) {
             entry.state = ServerState::Leaving;
         }
         let has_changed =
@@ -214,26 +214,26 @@
         self.runs.insert(run.clone(), entry.registered_as.clone());
         self.entries.insert(entry.registered_as.clone(), entry);
         if is_leaving {
-            self.record_left(&run);
+            self.record_departure(&run);
         }
         has_changed
     }
 
     /// Records that a run has left. If there are too many, evicts the earliest one that is no
     /// longer registered.
-    fn record_left(&mut self, run: &BackendName) {
-        if !self.left.insert(run.clone()) {
+    fn record_departure(&mut self, run: &BackendName) {
+        if !self.departed.insert(run.clone()) {
             return;
         }
-        self.left_order.push_back(run.clone());
-        if self.left_order.len() <= MAX_LEFT {
+        self.departure_order.push_back(run.clone());
+        if self.departure_order.len() <= MAX_DEPARTED {
             return;
         }
-        let mut order = self.left_order.iter();
+        let mut order = self.departure_order.iter();
         let first = order.position(|run| !self.runs.contains_key(run));
-        let evicted = self.left_order.remove(first.unwrap_or_default());
+        let evicted = self.departure_order.remove(first.unwrap_or_default());
         if let Some(run) = evicted {
-            self.left.remove(&run);
+            self.departed.remove(&run);
         }
     }
 
@@ -259,7 +259,7 @@
     /// whether that is new for a registered run.
     pub fn on_leaving(&mut self, id: &BackendName) -> bool {
         // Its entry may have expired and may be registered again.
-        self.record_left(id);
+        self.record_departure(id);
         let Some(registered_as) = self.runs.get(id).cloned() else {
             return false;
         };
