--- a/crates/bench/src/poison_day/sharing.rs
+++ b/crates/bench/src/poison_day/sharing.rs
@@ -5,7 +5,7 @@
     ids::{BackendName, Incarnation},
     poison::{
         AdvertisedCrashes, CrashReport, CrashTracker, Evidence, Permit, PermitState, Permits,
-        QuarantineSettings, RequestDigest, Standing,
+        QuarantineSettings, QuarantineStatus, RequestDigest,
     },
 };
 use savoryvane_wire::peer::{self, CrashQuery, CrashState, KnownCrashes, Message};
@@ -68,17 +68,17 @@
         if self.counting == Counting::Off {
             return Admitted::Freely;
         }
-        match self.books[instance].standing(now_ms, &digest) {
-            Standing::Clear => return Admitted::Freely,
-            Standing::Quarantined { .. } => return Admitted::Quarantined,
-            Standing::Suspect { .. } => {}
+        match self.books[instance].status(now_ms, &digest) {
+            QuarantineStatus::Clear => return Admitted::Freely,
+            QuarantineStatus::Quarantined { .. } => return Admitted::Quarantined,
+            QuarantineStatus::Suspect { .. } => {}
         }
         let book = &self.books[SCHEDULER];
         match self.permits.grant(now_ms, book, digest, lease_ms) {
             PermitState::Granted(permit) => Admitted::WithPermit(permit),
             PermitState::Out { .. } => Admitted::CopyRuns,
             PermitState::Quarantined(records) => {
-                self.books[instance].on_told(now_ms, records);
+                self.books[instance].on_reports(now_ms, records);
                 Admitted::Quarantined
             }
         }
@@ -86,7 +86,7 @@
 
     pub(super) fn give_back(&mut self, digest: &RequestDigest, permit: Option<Permit>) {
         if let Some(permit) = permit {
-            self.permits.give_back(digest, permit);
+            self.permits.release(digest, permit);
         }
     }
 
@@ -106,7 +106,8 @@
             age_ms: 0,
             is_withdrawn: false,
         };
-        if self.counting == Counting::Shared && self.books[instance].on_end(now_ms, record.clone())
+        if self.counting == Counting::Shared
+            && self.books[instance].on_crash(now_ms, record.clone())
         {
             self.tell(now_ms, instance, vec![record]);
         }
@@ -124,11 +125,11 @@
         if self.counting == Counting::Off || instance == SCHEDULER {
             return;
         }
-        self.books[SCHEDULER].on_told(now_ms, records.clone());
+        self.books[SCHEDULER].on_reports(now_ms, records.clone());
         let AdvertisedCrashes {
             records: told,
             revision,
-        } = self.books[SCHEDULER].told_since(now_ms, self.known[instance]);
+        } = self.books[SCHEDULER].reports_since(now_ms, self.known[instance]);
         let known = |revision| KnownCrashes {
             incarnation: Incarnation(1),
             revision,
@@ -146,7 +147,7 @@
             + length(&Message::CrashState(state));
         self.bytes[instance] += bytes;
         self.bytes[SCHEDULER] += bytes;
-        self.books[instance].on_told(now_ms, told);
+        self.books[instance].on_reports(now_ms, told);
         self.known[instance] = revision;
     }
 }
--- a/crates/server/src/crashes.rs
+++ b/crates/server/src/crashes.rs
@@ -13,8 +13,9 @@
     ids::{BackendName, InstanceName, RequestId},
     objects::Backend,
     poison::{
-        CrashReport, CrashTracker, Evidence, Fate, Probe, QuarantineSettings, Registered, Renewal,
-        RequestDigest, Standing, StoredChange, StoredCrashes, fate_at_loss, spread,
+        CrashReport, CrashTracker, Evidence, LostServerStatus, Probe, QuarantineSettings,
+        QuarantineStatus, Registered, Renewal, RequestDigest, StoredChange, StoredCrashes,
+        sample_evenly, status_at_loss,
     },
 };
 use savoryvane_wire::peer::Message;
@@ -46,7 +47,7 @@
 
     /// Forgets requests whose time has come.
     pub(crate) fn forget_old(&self, now_ms: u64) {
-        self.book().forget_old(now_ms);
+        self.book().forget_expired(now_ms);
     }
 
     /// Returns what is to be written to the log now.
@@ -56,7 +57,7 @@
 
     /// Notes that a request is on the log.
     pub(crate) fn on_kept(&self, kept: &StoredCrashes) {
-        self.book().on_kept(kept);
+        self.book().on_persisted(kept);
     }
 
     fn book(&self) -> MutexGuard<'_, CrashTracker> {
@@ -79,8 +80,8 @@
     digest: &RequestDigest,
 ) -> Option<u64> {
     let now_ms = shared.clock.now_ms();
-    let standing = shared.ends.book().standing(now_ms, digest);
-    let Standing::Quarantined {
+    let standing = shared.ends.book().status(now_ms, digest);
+    let QuarantineStatus::Quarantined {
         ends,
         retry_after_ms,
     } = standing
@@ -106,11 +107,11 @@
         true => Registered::Leaving,
         false => Registered::Ready,
     };
-    let fate = fate_at_loss(registered, probe, neighbour);
+    let fate = status_at_loss(registered, probe, neighbour);
     info!(shared.log, "connection to server lost"; "request" => %lost.request,
         "digest" => %lost.digest, "server" => %lost.backend, "registered" => ?registered,
         "probe" => ?probe, "neighbour" => ?neighbour, "fate" => ?fate);
-    if let Fate::Ended(evidence) = fate {
+    if let LostServerStatus::Ended(evidence) = fate {
         on_ended(shared, lost, evidence);
     }
 }
@@ -129,7 +130,7 @@
     };
     let now_ms = shared.clock.now_ms();
     let others = shared.fleet().in_flight(lost.backend).saturating_sub(1);
-    let counts = shared.ends.book().on_end(now_ms, record.clone());
+    let counts = shared.ends.book().on_crash(now_ms, record.clone());
     let ends = shared.ends.book().ends(now_ms, &lost.digest);
     warn!(shared.log, "server crashed under request"; "request" => %lost.request,
         "digest" => %lost.digest, "server" => %lost.backend, "others" => others,
@@ -157,7 +158,7 @@
 /// Takes over what a neighbour tells, and tells it on where it is new.
 pub(crate) fn on_told(shared: &Shared, records: Vec<CrashReport>) {
     let now_ms = shared.clock.now_ms();
-    let has_changed = shared.ends.book().on_told(now_ms, records.clone());
+    let has_changed = shared.ends.book().on_reports(now_ms, records.clone());
     if has_changed {
         info!(shared.log, "crashes advertised"; "ends" => records.len(), "source" => "peer");
         shared.members.peers().send_all(&Message::Ends(records));
@@ -169,7 +170,7 @@
     let now_ms = shared.clock.now_ms();
     let known = shared.ends.book().revision();
     for change in changes {
-        shared.ends.book().on_logged(now_ms, change);
+        shared.ends.book().on_log_change(now_ms, change);
     }
     tell_since(shared, known, |message| {
         shared.members.peers().send_all(&message);
@@ -186,9 +187,9 @@
 /// Tells what has changed since the revision `known`, in messages of bounded length.
 fn tell_since(shared: &Shared, mut known: u64, send: impl Fn(Message)) {
     let now_ms = shared.clock.now_ms();
-    shared.ends.book().forget_old(now_ms);
+    shared.ends.book().forget_expired(now_ms);
     while known < shared.ends.book().revision() {
-        let told = shared.ends.book().told_since(now_ms, known);
+        let told = shared.ends.book().reports_since(now_ms, known);
         known = told.revision;
         if !told.records.is_empty() {
             send(Message::Ends(told.records));
@@ -206,5 +207,5 @@
     let state = shared.configuration.state();
     let others = state.backends();
     let others = others.filter(|other| other.zone == backend.zone && other.name != backend.name);
-    spread(others.map(|other| other.addr), probing::NEIGHBOURS)
+    sample_evenly(others.map(|other| other.addr), probing::NEIGHBOURS)
 }
--- a/crates/server/src/gateway/forward.rs
+++ b/crates/server/src/gateway/forward.rs
@@ -5,7 +5,7 @@
 use http::{Request, Response, StatusCode, uri::PathAndQuery};
 use hyper::body::Incoming;
 use savoryvane_core::{
-    forwarding::{Chosen, Placement, Repeats, Route},
+    forwarding::{Placement, RepeatPolicy, Route, ServerChoice},
     ids::{BackendName, RequestId, ZoneName},
     poison::DigestBuilder,
     stages::{Refusal, StageOutcome, StageWork, Submission},
@@ -226,7 +226,10 @@
 
     /// Returns how long an answer to a request usually takes once it is sent.
     pub(super) fn answer_time(&self, caller: &CallerRequest) -> Duration {
-        let usual_ms = self.knowledge.answer_times().usual_ms(&caller.route().name);
+        let usual_ms = self
+            .knowledge
+            .answer_times()
+            .typical_ms(&caller.route().name);
         Duration::from_millis(usual_ms)
     }
 
@@ -272,7 +275,7 @@
         inputs: &Inputs,
         tried: &[BackendName],
         permit: Option<&HeldPermit>,
-    ) -> (Option<BackendName>, Chosen) {
+    ) -> (Option<BackendName>, ServerChoice) {
         let placement = placement(caller, inputs, tried, permit);
         let now_ms = self.clock.now_ms();
         let chosen = self.knowledge.fleet().choose(now_ms, &placement);
@@ -316,10 +319,10 @@
     Placement {
         service: &caller.service,
         tried,
-        is_repeatable: caller.repeats() == Repeats::Allowed,
+        is_repeatable: caller.repeats() == RepeatPolicy::Allowed,
         prompt: caller.prompt(),
         inputs: &inputs.by_zone,
-        apart: permit.and_then(HeldPermit::place),
+        isolation_index: permit.and_then(HeldPermit::place),
     }
 }
 
--- a/crates/server/src/gateway/sending.rs
+++ b/crates/server/src/gateway/sending.rs
@@ -4,7 +4,9 @@
 
 use http::Response;
 use savoryvane_core::{
-    forwarding::{AttemptEnd, Giving, NextStep, Repeats, answer_timeout_ms, next_step},
+    forwarding::{
+        AttemptEnd, FinalResponse, NextStep, RepeatPolicy, next_step, response_timeout_ms,
+    },
     ids::{BackendName, PoolName},
 };
 use slog::info;
@@ -55,7 +57,7 @@
                 self.time_to_wait(&caller, self.answer_time(&caller))?;
             }
             tried.push(server.clone());
-            let may_move_on = caller.repeats() == Repeats::Allowed
+            let may_move_on = caller.repeats() == RepeatPolicy::Allowed
                 && sends + 1 < caller.route().max_servers
                 && tried.len() < MOST_UNREACHED;
             let held = inputs.held.take();
@@ -117,10 +119,10 @@
                     }
                 }
                 (NextStep::SendAgain, _) => {}
-                (NextStep::Give(Giving::Refusal), _) => {
+                (NextStep::Give(FinalResponse::Refusal), _) => {
                     return Err(self.why_no_server(&caller).await);
                 }
-                (NextStep::Give(Giving::ServersFailure), Some(response)) => {
+                (NextStep::Give(FinalResponse::ServerFailure), Some(response)) => {
                     self.log_answered(&caller, &server, response.status(), sends);
                     return Ok(response.map(http_body::full));
                 }
@@ -137,7 +139,7 @@
         mut held: Option<Held>,
         sending: impl Future<Output = Option<Sent>>,
     ) -> (Option<Sent>, Option<Held>) {
-        let within_ms = self.knowledge.fetch_times().within_ms(service);
+        let within_ms = self.knowledge.fetch_times().release_after_ms(service);
         let fetched = time::sleep(Duration::from_millis(within_ms));
         tokio::pin!(fetched, sending);
         loop {
@@ -175,7 +177,7 @@
         server: &BackendName,
         may_move_on: bool,
     ) -> Option<Sent> {
-        let silence = Duration::from_millis(answer_timeout_ms(caller.route().goal_ms));
+        let silence = Duration::from_millis(response_timeout_ms(caller.route().goal_ms));
         let mut sent = Box::pin(self.send_once(caller, inputs, server, None));
         if may_move_on {
             let until = (Instant::now() + silence).min(caller.deadline);
@@ -208,7 +210,7 @@
     /// Notes that a server was given up as it stayed silent.
     pub(super) fn give_up(&self, caller: &CallerRequest, server: &BackendName, waited: Duration) {
         let now_ms = self.clock.now_ms();
-        self.knowledge.fleet().on_given_up(now_ms, server);
+        self.knowledge.fleet().on_silence_timeout(now_ms, server);
         let entry = self.knowledge.directory().entry(server).cloned();
         if let Some(entry) = entry {
             // Others that are kept may be as silent.
