--- a/crates/bench/src/bin/stage-ways.rs
+++ b/crates/bench/src/bin/stage-ways.rs
@@ -13,7 +13,7 @@
     forwarding::{Batching, Position, RoutingConfig, ServerEntry, ServerState, Service},
     ids::{BackendName, Incarnation, InstanceName, PoolName, RequestId, ZoneName},
     stages::{
-        CallEnd, ItemEnd, RequestKey, StageAction, StageCall, StageOutcome, StageScheduler,
+        CallOutcome, ItemOutcome, RequestKey, StageAction, StageCall, StageOutcome, StageScheduler,
         StageWork, Submission,
     },
 };
@@ -248,7 +248,7 @@
                         let calls = &mut servers.entry(call.server.clone()).or_default().calls;
                         if calls.len() > QUEUE {
                             got.full += 1;
-                            scheduler.on_call_ended(now_ms, call.id, &CallEnd::Full);
+                            scheduler.on_call_ended(now_ms, call.id, &CallOutcome::Full);
                         } else {
                             got.calls += 1;
                             calls.push_back((at, call, None));
@@ -292,9 +292,9 @@
             && let Some((at, call, _)) = server.calls.pop_front()
         {
             let made = call.items.iter().enumerate();
-            let made =
-                made.map(|(index, _)| ItemEnd::Done(format!("{name}/{at}/{}/{index}", call.id.0)));
-            let end = CallEnd::Answered(made.collect());
+            let made = made
+                .map(|(index, _)| ItemOutcome::Done(format!("{name}/{at}/{}/{index}", call.id.0)));
+            let end = CallOutcome::Answered(made.collect());
             schedulers[at].on_call_ended(now_ms, call.id, &end);
         }
         if let Some((_, call, ends_ms)) = server.calls.front_mut() {
--- a/crates/bench/src/stage_load.rs
+++ b/crates/bench/src/stage_load.rs
@@ -14,7 +14,7 @@
     forwarding::{Batching, Position, RoutingConfig, ServerEntry, ServerState, Service},
     ids::{BackendName, Incarnation, InstanceName, PoolName, RequestId, ZoneName},
     stages::{
-        CallEnd, ItemEnd, RequestKey, StageAction, StageCall, StageOutcome, StageScheduler,
+        CallOutcome, ItemOutcome, RequestKey, StageAction, StageCall, StageOutcome, StageScheduler,
         StageWork, Submission,
     },
 };
@@ -322,8 +322,8 @@
                 continue;
             };
             let made = (0..call.items.len())
-                .map(|index| ItemEnd::Done(format!("{name}/{}/{index}", call.id.0)));
-            let end = CallEnd::Answered(made.collect());
+                .map(|index| ItemOutcome::Done(format!("{name}/{}/{index}", call.id.0)));
+            let end = CallOutcome::Answered(made.collect());
             self.scheduler.on_call_ended(self.now_ms, call.id, &end);
             self.carry_out();
         }
--- a/crates/core/src/stages.rs
+++ b/crates/core/src/stages.rs
@@ -22,8 +22,8 @@
 mod service;
 mod work;
 
-pub use choice::{Candidate, SchedulerChoice};
-pub use scheduler::{CallEnd, ItemEnd, StageScheduler};
+pub use choice::{Candidate, SchedulerSelector};
+pub use scheduler::{CallOutcome, ItemOutcome, StageScheduler};
 pub use work::{
     CallId, CallItem, DonePiece, ItemInput, Refusal, RequestKey, ResultRef, StageAction, StageCall,
     StageOutcome, StageWork, Submission,
--- a/crates/core/src/stages/calls.rs
+++ b/crates/core/src/stages/calls.rs
@@ -5,7 +5,7 @@
     isolation::Isolation,
     queue::Waiting,
     request::{Piece, PieceAt, Request},
-    scheduler::{CallEnd, ItemEnd, StageScheduler},
+    scheduler::{CallOutcome, ItemOutcome, StageScheduler},
     server::Server,
     work::{CallId, CallItem, ItemInput, Refusal, RequestKey, ResultRef, StageAction, StageCall},
 };
@@ -41,12 +41,12 @@
 
 impl StageScheduler {
     /// Notes the end of a call.
-    pub fn on_call_ended(&mut self, now_ms: u64, id: CallId, end: &CallEnd) {
+    pub fn on_call_ended(&mut self, now_ms: u64, id: CallId, end: &CallOutcome) {
         let Some(call) = self.calls.remove(&id) else {
             return;
         };
         let elapsed_ms = now_ms.saturating_sub(call.began_at_ms) as f64;
-        if *end == CallEnd::Full {
+        if *end == CallOutcome::Full {
             self.contention.on_sign_of_others(now_ms);
         }
         if call.was_missed(now_ms) {
@@ -58,17 +58,17 @@
         }
         if let Some(server) = self.server_mut(&call) {
             server.calls = server.calls.saturating_sub(1);
-            if matches!(end, CallEnd::Answered(_)) {
+            if matches!(end, CallOutcome::Answered(_)) {
                 server.on_taken();
             }
             match end {
                 // Beside other schedulers it says nothing of the server.
-                CallEnd::Answered(_) if !is_alone => {}
-                CallEnd::Answered(_) => server.on_answer(now_ms, elapsed_ms, call.expected_ms),
-                CallEnd::Full => server.on_full(now_ms),
-                CallEnd::BackingOff(until_ms) => server.on_backoff(*until_ms),
-                CallEnd::Misdirected => server.is_closed = true,
-                CallEnd::Unreachable | CallEnd::Lost | CallEnd::ServerEnded(_) => {
+                CallOutcome::Answered(_) if !is_alone => {}
+                CallOutcome::Answered(_) => server.on_answer(now_ms, elapsed_ms, call.expected_ms),
+                CallOutcome::Full => server.on_full(now_ms),
+                CallOutcome::BackingOff(until_ms) => server.on_backoff(*until_ms),
+                CallOutcome::Misdirected => server.is_closed = true,
+                CallOutcome::Unreachable | CallOutcome::Lost | CallOutcome::ServerEnded(_) => {
                     server.on_failure(now_ms);
                     let addr = server.addr;
                     let server = call.server.clone();
@@ -80,23 +80,23 @@
             service.use_slow_rather_than_none(now_ms);
         }
         match end {
-            CallEnd::Answered(items) => {
+            CallOutcome::Answered(items) => {
                 for (index, waiting) in call.pieces.iter().enumerate() {
-                    let item = items.get(index).unwrap_or(&ItemEnd::Failed);
+                    let item = items.get(index).unwrap_or(&ItemOutcome::Failed);
                     self.on_item_ended(now_ms, id, &call, waiting, item);
                 }
             }
-            CallEnd::Full
-            | CallEnd::BackingOff(_)
-            | CallEnd::Misdirected
-            | CallEnd::Unreachable => {
+            CallOutcome::Full
+            | CallOutcome::BackingOff(_)
+            | CallOutcome::Misdirected
+            | CallOutcome::Unreachable => {
                 for waiting in &call.pieces {
                     self.release_room(&call, waiting);
                     self.wait_again(now_ms, id, waiting, false);
                 }
             }
-            CallEnd::Lost | CallEnd::ServerEnded(_) => {
-                if let CallEnd::ServerEnded(ends) = end {
+            CallOutcome::Lost | CallOutcome::ServerEnded(_) => {
+                if let CallOutcome::ServerEnded(ends) = end {
                     self.on_ends(now_ms, ends);
                 }
                 for waiting in &call.pieces {
@@ -192,20 +192,22 @@
         id: CallId,
         call: &RunningCall,
         waiting: &Waiting,
-        end: &ItemEnd,
+        end: &ItemOutcome,
     ) {
-        let ItemEnd::Done(handle) = end else {
+        let ItemOutcome::Done(handle) = end else {
             self.release_room(call, waiting);
             match end {
-                ItemEnd::Late => self.refuse(now_ms, &waiting.key, Refusal::TooLate),
-                ItemEnd::InputGone => self.redo_inputs(now_ms, id, waiting),
-                ItemEnd::NoRoom => {
+                ItemOutcome::Late => self.refuse(now_ms, &waiting.key, Refusal::TooLate),
+                ItemOutcome::InputGone => self.redo_inputs(now_ms, id, waiting),
+                ItemOutcome::NoRoom => {
                     if let Some(server) = self.server_mut(call) {
                         server.on_no_room(now_ms);
                     }
                     self.wait_again(now_ms, id, waiting, false);
                 }
-                ItemEnd::Failed | ItemEnd::Done(_) => self.wait_again(now_ms, id, waiting, true),
+                ItemOutcome::Failed | ItemOutcome::Done(_) => {
+                    self.wait_again(now_ms, id, waiting, true)
+                }
             }
             return;
         };
--- a/crates/core/src/stages/choice.rs
+++ b/crates/core/src/stages/choice.rs
@@ -79,7 +79,7 @@
 
 /// The list of candidates, and who is reached.
 #[derive(Debug, Default)]
-pub struct SchedulerChoice {
+pub struct SchedulerSelector {
     candidates: Vec<(Candidate, Reach)>,
     /// Time of the first failure of any of them, in ms.
     began_ms: Option<u64>,
@@ -97,7 +97,7 @@
     }
 }
 
-impl SchedulerChoice {
+impl SchedulerSelector {
     /// Takes over the list of instances; what is known of those that stay is
     /// kept.
     pub fn set_candidates(&mut self, candidates: Vec<Candidate>) {
@@ -158,7 +158,7 @@
 
     /// Notes a look for the one that schedules; the first counts once there are
     /// candidates.
-    pub fn on_look(&mut self, now_ms: u64) {
+    pub fn on_probe_round(&mut self, now_ms: u64) {
         if !self.candidates.is_empty() {
             self.first_look_ms.get_or_insert(now_ms);
         }
@@ -171,7 +171,7 @@
 
     /// Returns the instances to ask whether they are there: the current one, those
     /// before it whose time has come, and the next ones while none has answered.
-    pub fn to_ask(&self, now_ms: u64) -> Vec<InstanceName> {
+    pub fn probe_targets(&self, now_ms: u64) -> Vec<InstanceName> {
         let mut asked = Vec::new();
         let mut unknown = 0;
         let mut has_current = false;
@@ -204,13 +204,13 @@
     }
 
     /// Tells whether an instance is not reached.
-    pub fn is_away(&self, instance: &InstanceName) -> bool {
+    pub fn is_unreachable(&self, instance: &InstanceName) -> bool {
         let mut candidates = self.candidates.iter();
         candidates.any(|(c, reach)| c.instance == *instance && matches!(reach, Reach::Away { .. }))
     }
 
     /// Notes that an instance answered that it schedules for others.
-    pub fn on_answer(&mut self, instance: &InstanceName) {
+    pub fn on_response(&mut self, instance: &InstanceName) {
         self.set(instance, |_| Reach::Reached);
     }
 
@@ -221,7 +221,7 @@
     }
 
     /// Notes that an instance left a question unanswered.
-    pub fn on_miss(&mut self, now_ms: u64, instance: &InstanceName) {
+    pub fn on_no_response(&mut self, now_ms: u64, instance: &InstanceName) {
         let is_starting = self.is_starting(now_ms);
         self.set(instance, |reach| match reach {
             Reach::Unknown(misses) if misses + 1 < MISSES => Reach::Unknown(misses + 1),
--- a/crates/core/src/stages/scheduler.rs
+++ b/crates/core/src/stages/scheduler.rs
@@ -22,7 +22,7 @@
 
 /// How one piece of a call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ItemEnd {
+pub enum ItemOutcome {
     /// Its result is kept under this name.
     Done(String),
     /// Its time had passed when its turn came.
@@ -37,9 +37,9 @@
 
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// It was answered, piece by piece.
-    Answered(Vec<ItemEnd>),
+    Answered(Vec<ItemOutcome>),
     /// The server did not take it.
     Full,
     /// The server backs off until a time, in ms; it rejected the call, or was not sent it.
@@ -54,7 +54,7 @@
     ServerEnded(Vec<(RequestDigest, u32)>),
 }
 
-impl CallEnd {
+impl CallOutcome {
     /// Returns the name used in logs and metrics.
     pub fn as_str(&self) -> &'static str {
         match self {
--- a/crates/core/tests/stages_choice.rs
+++ b/crates/core/tests/stages_choice.rs
@@ -2,7 +2,7 @@
 
 use savoryvane_core::{
     ids::InstanceName,
-    stages::{Candidate, SchedulerChoice},
+    stages::{Candidate, SchedulerSelector},
 };
 
 fn candidates(names: &[&str]) -> Vec<Candidate> {
@@ -17,22 +17,22 @@
 
 const NAMES: [&str; 5] = ["a", "b", "c", "d", "e"];
 
-fn choice() -> SchedulerChoice {
-    let mut choice = SchedulerChoice::default();
+fn choice() -> SchedulerSelector {
+    let mut choice = SchedulerSelector::default();
     choice.set_candidates(candidates(&NAMES));
     choice
 }
 
 #[test]
 fn all_choose_the_same_whatever_order_they_learnt_the_names_in() {
-    let mut other = SchedulerChoice::default();
+    let mut other = SchedulerSelector::default();
     other.set_candidates(candidates(&["e", "c", "a", "d", "b"]));
     assert_eq!(choice().current(), other.current());
 }
 
 #[test]
 fn strong_instances_go_first() {
-    let mut choice = SchedulerChoice::default();
+    let mut choice = SchedulerSelector::default();
     let mut listed = candidates(&NAMES);
     for candidate in &mut listed[..4] {
         candidate.cores = 0.12;
@@ -46,11 +46,11 @@
 fn one_that_misses_a_question_is_kept_and_one_that_misses_two_is_not() {
     let mut choice = choice();
     let first = choice.current().cloned().unwrap();
-    choice.on_miss(0, &first);
+    choice.on_no_response(0, &first);
     assert_eq!(choice.current(), Some(&first));
-    choice.on_miss(250, &first);
+    choice.on_no_response(250, &first);
     assert_ne!(choice.current(), Some(&first));
-    assert!(choice.is_away(&first));
+    assert!(choice.is_unreachable(&first));
 }
 
 /// An instance that was not reached for a while is asked again at least once a
@@ -64,10 +64,10 @@
         choice.on_unreachable(now_ms, &first);
         let asked_at = (now_ms..=now_ms + 1_000)
             .step_by(50)
-            .find(|at_ms| choice.to_ask(*at_ms).contains(&first));
+            .find(|at_ms| choice.probe_targets(*at_ms).contains(&first));
         now_ms = asked_at.expect("it is asked again within a second");
     }
-    choice.on_answer(&first);
+    choice.on_response(&first);
     assert_eq!(choice.current(), Some(&first));
 }
 
@@ -79,7 +79,7 @@
     let first = choice.current().cloned().unwrap();
     for look in 0..8 {
         let now_ms = look * 250;
-        assert!(choice.to_ask(now_ms).contains(&first), "look {look}");
+        assert!(choice.probe_targets(now_ms).contains(&first), "look {look}");
         choice.on_unreachable(now_ms, &first);
     }
 }
@@ -90,8 +90,11 @@
     let first = choice.current().cloned().unwrap();
     choice.on_declined(0, &first);
     assert_ne!(choice.current(), Some(&first));
-    assert!(!choice.is_away(&first), "what it has begun it finishes");
-    assert!(choice.to_ask(1_000).contains(&first));
+    assert!(
+        !choice.is_unreachable(&first),
+        "what it has begun it finishes"
+    );
+    assert!(choice.probe_targets(1_000).contains(&first));
 }
 
 #[test]
@@ -100,7 +103,7 @@
     let first = choice.current().cloned().unwrap();
     choice.on_unreachable(0, &first);
     choice.set_candidates(candidates(&["a", "b", "c", "d", "e", "f"]));
-    assert!(choice.is_away(&first));
+    assert!(choice.is_unreachable(&first));
 }
 
 /// The instance that schedules knows its successor, and so do all others: when it leaves,
@@ -108,18 +111,18 @@
 #[test]
 fn the_next_one_is_asked_before_it_is_needed() {
     let mut choice = choice();
-    let names = choice.to_ask(0);
+    let names = choice.probe_targets(0);
     for name in &names {
-        choice.on_answer(name);
+        choice.on_response(name);
     }
     let first = choice.current().cloned().unwrap();
     // The second one was away once, while the first one was there.
     let second = names[1].clone();
     choice.on_unreachable(100, &second);
     for now_ms in (250..3_000).step_by(250) {
-        choice.on_look(now_ms);
-        for name in choice.to_ask(now_ms) {
-            choice.on_answer(&name);
+        choice.on_probe_round(now_ms);
+        for name in choice.probe_targets(now_ms) {
+            choice.on_response(&name);
         }
     }
     choice.on_declined(3_000, &first);
@@ -131,9 +134,9 @@
     let mut choice = choice();
     let mut asked = 0;
     for now_ms in (0..10_000).step_by(250) {
-        choice.on_look(now_ms);
-        for name in choice.to_ask(now_ms) {
-            choice.on_answer(&name);
+        choice.on_probe_round(now_ms);
+        for name in choice.probe_targets(now_ms) {
+            choice.on_response(&name);
             asked += 1;
         }
     }
--- a/crates/core/tests/stages_choice_fleet.rs
+++ b/crates/core/tests/stages_choice_fleet.rs
@@ -6,7 +6,7 @@
 use rand_pcg::Pcg64Mcg;
 use savoryvane_core::{
     ids::InstanceName,
-    stages::{Candidate, SchedulerChoice},
+    stages::{Candidate, SchedulerSelector},
 };
 
 /// Time between two looks of one that does not know who schedules, in ms.
@@ -20,7 +20,7 @@
     name: InstanceName,
     /// Time from which it can be reached, in ms; none when it is gone for good.
     up_at_ms: Option<u64>,
-    choice: SchedulerChoice,
+    choice: SchedulerSelector,
     look_at_ms: u64,
 }
 
@@ -45,7 +45,7 @@
             .collect();
         let nodes = names.into_iter().enumerate().map(|(index, name)| {
             let up_at_ms = rng.random_range(0..300);
-            let mut choice = SchedulerChoice::default();
+            let mut choice = SchedulerSelector::default();
             choice.set_candidates(candidates.clone());
             Node {
                 name,
@@ -78,13 +78,13 @@
                 continue;
             }
             if node.look_at_ms <= now_ms {
-                self.nodes[index].choice.on_look(now_ms);
-                let asked = self.nodes[index].choice.to_ask(now_ms);
+                self.nodes[index].choice.on_probe_round(now_ms);
+                let asked = self.nodes[index].choice.probe_targets(now_ms);
                 for name in asked {
                     let is_up = self.is_up(now_ms, &name);
                     let choice = &mut self.nodes[index].choice;
                     match is_up {
-                        true => choice.on_answer(&name),
+                        true => choice.on_response(&name),
                         false => choice.on_unreachable(now_ms, &name),
                     }
                 }
--- a/crates/core/tests/stages_world/mod.rs
+++ b/crates/core/tests/stages_world/mod.rs
@@ -11,8 +11,8 @@
     ids::{BackendName, Incarnation, InstanceName, PoolName, RequestId, ZoneName},
     poison::{CrashReport, CrashTracker, Evidence, QuarantineSettings, RequestDigest},
     stages::{
-        CallEnd, CallItem, ItemEnd, ItemInput, RequestKey, StageAction, StageCall, StageOutcome,
-        StageScheduler, StageWork, Submission,
+        CallItem, CallOutcome, ItemInput, ItemOutcome, RequestKey, StageAction, StageCall,
+        StageOutcome, StageScheduler, StageWork, Submission,
     },
 };
 
@@ -316,14 +316,14 @@
             if self.crashing.contains(&call.server) || self.is_poisoned(&call) {
                 self.end_server(&call);
             } else if self.silent.contains(&call.server) {
-                let end = CallEnd::Lost;
+                let end = CallOutcome::Lost;
                 self.scheduler.on_call_ended(now_ms, call.id, &end);
             } else if self.is_bad() {
                 let end = match self.rng.random_range(0..4) {
-                    0 => CallEnd::Full,
-                    1 => CallEnd::Unreachable,
-                    2 => CallEnd::Answered(vec![ItemEnd::Failed; call.items.len()]),
-                    _ => CallEnd::Lost,
+                    0 => CallOutcome::Full,
+                    1 => CallOutcome::Unreachable,
+                    2 => CallOutcome::Answered(vec![ItemOutcome::Failed; call.items.len()]),
+                    _ => CallOutcome::Lost,
                 };
                 self.scheduler.on_call_ended(now_ms, call.id, &end);
             } else {
@@ -333,11 +333,11 @@
                     if had_inputs {
                         self.make(&call, item, had_room)
                     } else {
-                        ItemEnd::InputGone
+                        ItemOutcome::InputGone
                     }
                 });
-                let ends: Vec<ItemEnd> = ends.collect();
-                let end = CallEnd::Answered(ends);
+                let ends: Vec<ItemOutcome> = ends.collect();
+                let end = CallOutcome::Answered(ends);
                 self.scheduler.on_call_ended(now_ms, call.id, &end);
             }
             self.carry_out();
@@ -379,7 +379,7 @@
         let ends = digests
             .iter()
             .map(|digest| (*digest, self.book.ends(now_ms, digest)));
-        let end = CallEnd::ServerEnded(ends.collect());
+        let end = CallOutcome::ServerEnded(ends.collect());
         self.scheduler.on_call_ended(now_ms, call.id, &end);
     }
 
@@ -456,14 +456,14 @@
 
     fn take_call(&mut self, call: StageCall) {
         if self.cut_off.contains(&call.server) {
-            let end = CallEnd::Unreachable;
+            let end = CallOutcome::Unreachable;
             self.scheduler.on_call_ended(self.now_ms, call.id, &end);
             return self.carry_out();
         }
         self.calls.push((self.now_ms, call.clone()));
         let backoff = self.backoffs.get(&call.server);
         if let Some(until_ms) = backoff.filter(|until_ms| **until_ms > self.now_ms) {
-            let end = CallEnd::BackingOff(*until_ms);
+            let end = CallOutcome::BackingOff(*until_ms);
             self.scheduler.on_call_ended(self.now_ms, call.id, &end);
             return self.carry_out();
         }
@@ -546,11 +546,11 @@
         }
     }
 
-    fn make(&mut self, call: &StageCall, item: &CallItem, had_room: bool) -> ItemEnd {
+    fn make(&mut self, call: &StageCall, item: &CallItem, had_room: bool) -> ItemOutcome {
         let submission = &self.submissions[item.request.as_str()];
         let bytes = submission.stages[item.stage].result_bytes;
         if !had_room {
-            return ItemEnd::NoRoom;
+            return ItemOutcome::NoRoom;
         }
         self.next_handle += 1;
         let handle = format!("h{}", self.next_handle);
@@ -563,6 +563,6 @@
             expires_at_ms: self.now_ms + RESULT_TTL_MS,
         };
         self.results.insert(handle.clone(), kept);
-        ItemEnd::Done(handle)
+        ItemOutcome::Done(handle)
     }
 }
--- a/crates/server/src/gateway/calls.rs
+++ b/crates/server/src/gateway/calls.rs
@@ -9,7 +9,7 @@
     forwarding::ServerEntry,
     ids::{BackendName, RequestId},
     poison::{Fate, RequestDigest},
-    stages::{CallEnd, ItemEnd, ItemInput, StageCall},
+    stages::{CallOutcome, ItemInput, ItemOutcome, StageCall},
 };
 use savoryvane_platform::{
     answer::{self, AnswerHead},
@@ -75,16 +75,16 @@
     }
 
     /// Calls a server with pieces, and returns how that ended.
-    pub(super) async fn run(&self, call: &StageCall) -> CallEnd {
+    pub(super) async fn run(&self, call: &StageCall) -> CallOutcome {
         let began = Instant::now();
         let server = self.knowledge.directory().entry(&call.server).cloned();
         let mut end = self.exchange(call).await;
         let elapsed_ms = began.elapsed().as_millis() as u64;
-        if end == CallEnd::Lost
+        if end == CallOutcome::Lost
             && let Some(server) = server
             && let Some(ends) = self.on_lost(call, &server).await
         {
-            end = CallEnd::ServerEnded(ends);
+            end = CallOutcome::ServerEnded(ends);
         }
         metrics::counter!("savoryvane_stage_calls_ended_total", "end" => end.as_str()).increment(1);
         metrics::histogram!("savoryvane_stage_call_seconds").record(began.elapsed());
@@ -115,21 +115,23 @@
         matches!(fate, Fate::Ended(_)).then(|| ends.collect())
     }
 
-    fn log_call(&self, call: &StageCall, end: &CallEnd, elapsed_ms: u64) {
-        let CallEnd::Answered(items) = end else {
+    fn log_call(&self, call: &StageCall, end: &CallOutcome, elapsed_ms: u64) {
+        let CallOutcome::Answered(items) = end else {
             warn!(self.log, "pieces not called"; "call" => call.id.0,
                 "service" => %call.service, "server" => %call.server,
                 "pieces" => call.items.len(), "elapsed_ms" => elapsed_ms, "end" => end.as_str());
             return;
         };
-        let count = |end: &ItemEnd| items.iter().filter(|item| *item == end).count();
-        let done = items.iter().filter(|item| matches!(item, ItemEnd::Done(_)));
+        let count = |end: &ItemOutcome| items.iter().filter(|item| *item == end).count();
+        let done = items
+            .iter()
+            .filter(|item| matches!(item, ItemOutcome::Done(_)));
         info!(self.log, "pieces called"; "call" => call.id.0, "service" => %call.service,
             "server" => %call.server, "pieces" => items.len(), "done" => done.count(),
-            "late" => count(&ItemEnd::Late), "input_gone" => count(&ItemEnd::InputGone),
-            "no_room" => count(&ItemEnd::NoRoom), "failed" => count(&ItemEnd::Failed),
+            "late" => count(&ItemOutcome::Late), "input_gone" => count(&ItemOutcome::InputGone),
+            "no_room" => count(&ItemOutcome::NoRoom), "failed" => count(&ItemOutcome::Failed),
             "elapsed_ms" => elapsed_ms);
-        let gone = items.iter().position(|end| *end == ItemEnd::InputGone);
+        let gone = items.iter().position(|end| *end == ItemOutcome::InputGone);
         if let Some(item) = gone.and_then(|index| call.items.get(index)) {
             let input = match &item.input {
                 ItemInput::Results(handles) => handles.first().map(String::as_str),
@@ -140,12 +142,12 @@
         }
     }
 
-    async fn exchange(&self, call: &StageCall) -> CallEnd {
+    async fn exchange(&self, call: &StageCall) -> CallOutcome {
         let body = match stages::encode_run(&call.items) {
             Ok(body) => body,
             Err(err) => {
                 warn!(self.log, "pieces not encoded"; "error" => %err);
-                return CallEnd::Unreachable;
+                return CallOutcome::Unreachable;
             }
         };
         // Signals may have arrived since the server was chosen.
@@ -162,36 +164,36 @@
         let (head, answer) = match answer {
             Ok(answer) => answer,
             Err(SendError::NotSent(_)) => {
-                return self.not_sent(call).unwrap_or(CallEnd::Unreachable);
+                return self.not_sent(call).unwrap_or(CallOutcome::Unreachable);
             }
-            Err(SendError::Sent(_)) => return CallEnd::Lost,
+            Err(SendError::Sent(_)) => return CallOutcome::Lost,
         };
         let status = answer.status();
         if head.is_misdirected {
-            return CallEnd::Misdirected;
+            return CallOutcome::Misdirected;
         }
         if head.is_not_run {
-            return self.not_sent(call).unwrap_or(CallEnd::Full);
+            return self.not_sent(call).unwrap_or(CallOutcome::Full);
         }
         match stages::decode_run(answer.body()) {
             Ok(items) if status == StatusCode::OK && items.len() == call.items.len() => {
-                CallEnd::Answered(items)
+                CallOutcome::Answered(items)
             }
-            Ok(_) => CallEnd::Lost,
+            Ok(_) => CallOutcome::Lost,
             Err(err) => {
                 warn!(self.log, "answer to pieces not understood"; "call" => call.id.0,
                     "server" => %call.server, "status" => status.as_u16(), "error" => %err);
-                CallEnd::Lost
+                CallOutcome::Lost
             }
         }
     }
 
     /// Returns how a call ends that its server does not take now.
-    fn not_sent(&self, call: &StageCall) -> Option<CallEnd> {
+    fn not_sent(&self, call: &StageCall) -> Option<CallOutcome> {
         match self.knowledge.sendable(&call.server) {
             Sendable::Yes => None,
-            Sendable::Closed => Some(CallEnd::Misdirected),
-            Sendable::BackingOff(until_ms) => Some(CallEnd::BackingOff(until_ms)),
+            Sendable::Closed => Some(CallOutcome::Misdirected),
+            Sendable::BackingOff(until_ms) => Some(CallOutcome::BackingOff(until_ms)),
         }
     }
 
--- a/crates/server/src/gateway/members.rs
+++ b/crates/server/src/gateway/members.rs
@@ -13,7 +13,7 @@
     forwarding::{Cursor, Reader},
     ids::{Incarnation, InstanceName, ZoneName},
     membership::Contact,
-    stages::{Candidate, SchedulerChoice},
+    stages::{Candidate, SchedulerSelector},
 };
 use savoryvane_platform::store::{self, InstanceRecord};
 use savoryvane_wire::peer::ListedPeer;
@@ -47,7 +47,7 @@
     listed: Mutex<Listing>,
     /// Era of the store in which this instance has written itself again.
     listed_again_in: AtomicU64,
-    choice: Mutex<SchedulerChoice>,
+    choice: Mutex<SchedulerSelector>,
     /// When another instance was chosen to schedule, and which one.
     pub(super) replaced: Mutex<Option<(Instant, InstanceName)>>,
     /// Told when more is known of which instances are reached.
@@ -217,7 +217,7 @@
         lock(&self.listed)
     }
 
-    pub(super) fn choice(&self) -> MutexGuard<'_, SchedulerChoice> {
+    pub(super) fn choice(&self) -> MutexGuard<'_, SchedulerSelector> {
         lock(&self.choice)
     }
 }
--- a/crates/server/src/gateway/scheduling.rs
+++ b/crates/server/src/gateway/scheduling.rs
@@ -66,7 +66,7 @@
     /// Waits until `instance` is found not to be reached.
     pub(super) async fn lost(&self, instance: &InstanceName) {
         let mut heard = self.heard.subscribe();
-        while !self.choice().is_away(instance) {
+        while !self.choice().is_unreachable(instance) {
             // The sender lives as long as `self`.
             let _ = heard.changed().await;
         }
@@ -75,7 +75,7 @@
     /// Notes that the instance that scheduled names another one, which it
     /// reaches; whether this one does shows when it is asked.
     pub(super) fn on_scheduler_told(&self, instance: &InstanceName) {
-        self.choice().on_answer(instance);
+        self.choice().on_response(instance);
     }
 
     /// Notes that an instance does not schedule for others.
@@ -88,7 +88,7 @@
         if phases.is_leaving() {
             self.on_scheduler_declined(&self.me);
         } else {
-            self.choice().on_answer(&self.me);
+            self.choice().on_response(&self.me);
         }
     }
 
@@ -151,8 +151,8 @@
                 self.store.set_reader(members.reader());
             }
             let now_ms = members.clock.now_ms();
-            members.choice().on_look(now_ms);
-            let asked = members.choice().to_ask(now_ms);
+            members.choice().on_probe_round(now_ms);
+            let asked = members.choice().probe_targets(now_ms);
             for instance in asked {
                 if members.is_me(&instance) {
                     members.ask_self(phases);
@@ -194,7 +194,7 @@
             let mut choice = members.choice();
             match answer {
                 Ok(Message::SchedulerState(state)) if state.is_taking => {
-                    choice.on_answer(&instance);
+                    choice.on_response(&instance);
                     Some(state)
                 }
                 Ok(_) => {
@@ -205,7 +205,7 @@
                     if err.is_nothing_done() {
                         choice.on_unreachable(now_ms, &instance);
                     } else {
-                        choice.on_miss(now_ms, &instance);
+                        choice.on_no_response(now_ms, &instance);
                     }
                     None
                 }
