--- a/crates/core/src/stages.rs
+++ b/crates/core/src/stages.rs
@@ -8,23 +8,23 @@
 mod admission;
 mod batch;
 mod calls;
-mod choice;
 mod contention;
-mod fetched;
+mod early_release;
 mod handover;
 mod isolation;
-mod kept;
 mod progress;
 mod queue;
 mod request;
+mod results;
 mod scheduler;
+mod selection;
 mod server;
 mod service;
-mod work;
+mod types;
 
-pub use choice::{Candidate, SchedulerSelector};
 pub use scheduler::{CallOutcome, ItemOutcome, StageScheduler};
-pub use work::{
+pub use selection::{Candidate, SchedulerSelector};
+pub use types::{
     CallId, CallItem, DonePiece, ItemInput, Refusal, RequestKey, ResultRef, StageAction, StageCall,
     StageOutcome, StageWork, Submission,
 };
--- a/crates/core/src/stages/admission.rs
+++ b/crates/core/src/stages/admission.rs
@@ -11,7 +11,7 @@
 
 use super::{
     Submission,
-    service::{StageService, Taken},
+    service::{AdmissionClass, StageService},
 };
 use crate::{forwarding::return_after_ms, ids::PoolName};
 
@@ -26,20 +26,20 @@
 const USABLE_SLACK_PERCENT: [u64; 3] = [75, 75, 35];
 /// Shortest time after which a refused caller is asked to come back, in ms: one
 /// call of a stage, after which its queue has changed.
-const SHORTEST_RETRY_AFTER_MS: u64 = 250;
+const MIN_RETRY_AFTER_MS: u64 = 250;
 
 /// Longest such time, in ms: the longest bursts of the users' days; callers wait
 /// at most a third of what they have left, which is 6 to 20 s.
-const LONGEST_RETRY_AFTER_MS: u64 = 6_000;
+const MAX_RETRY_AFTER_MS: u64 = 6_000;
 /// Time that a burst usually lasts, in ms: on the users' days 3.5 to 6 s.
-const USUAL_BURST_MS: u64 = 4_000;
+const TYPICAL_BURST_MS: u64 = 4_000;
 /// Time of refusals from which they count as a burst, in ms: less may be chance.
-const BURST_BEGINS_MS: u64 = 250;
+const MIN_BURST_MS: u64 = 250;
 /// Time without a refusal after which one counts as over, in ms.
-const RECENT_MS: u64 = 4_000;
+const BURST_GAP_MS: u64 = 4_000;
 /// Time by which the deadline of a caller who comes back is shorter than usual
 /// at least, in ms: the shortest that one is asked to wait.
-const LEAST_MISSING_MS: u64 = 150;
+const MIN_MISSING_MS: u64 = 150;
 /// What a piece that was taken late counts beside one that goes before a new one:
 /// it fills what is left of a call, which takes longer by its own time alone.
 const LATE_WEIGHT: f64 = 0.25;
@@ -55,11 +55,11 @@
     /// Time to the end of the last stage, in ms.
     pub(super) stages_ms: u64,
     /// The same without any queue.
-    own_ms: u64,
+    unqueued_ms: u64,
     /// Time until each service has a server that takes work, in ms.
     pub(super) available_in_ms: u64,
     /// Whether a service has no server that takes work or will after its backoff.
-    pub(super) has_gap: bool,
+    pub(super) is_unservable: bool,
 }
 
 /// Estimates when the stages of `submission` would be done, after all that was
@@ -81,54 +81,54 @@
     late_weight: f64,
 ) -> Forecast {
     let mut ends_ms: Vec<f64> = Vec::with_capacity(submission.stages.len());
-    let mut own_ends_ms: Vec<f64> = Vec::with_capacity(submission.stages.len());
+    let mut unqueued_ends_ms: Vec<f64> = Vec::with_capacity(submission.stages.len());
     let mut available_in_ms = 0;
-    let mut has_gap = false;
+    let mut is_unservable = false;
     for stage in &submission.stages {
         let ready_ms = latest(&stage.after, &ends_ms);
-        let own_ready_ms = latest(&stage.after, &own_ends_ms);
+        let unqueued_ready_ms = latest(&stage.after, &unqueued_ends_ms);
         if stage.pieces == 0 {
             ends_ms.push(ready_ms);
-            own_ends_ms.push(own_ready_ms);
+            unqueued_ends_ms.push(unqueued_ready_ms);
             continue;
         }
         let Some(service) = services.get(&stage.service) else {
-            has_gap = true;
+            is_unservable = true;
             ends_ms.push(ready_ms);
-            own_ends_ms.push(own_ready_ms);
+            unqueued_ends_ms.push(unqueued_ready_ms);
             continue;
         };
         let pieces = stage.pieces as usize;
         // While none of what is taken has come this far, the servers stand idle
         // until the first does.
-        let is_begun = service.running > 0 || !service.queue.is_empty();
+        let is_begun = service.running_pieces > 0 || !service.queue.is_empty();
         let idle_ms = if is_begun { 0.0 } else { ready_ms };
-        let ahead = service.committed.ahead(late_weight) + pieces as f64;
-        let waiting = (ahead - service.taken_at_once(now_ms) as f64).max(0.0);
+        let ahead = service.committed.weighted_pieces(late_weight) + pieces as f64;
+        let waiting = (ahead - service.immediate_pieces(now_ms) as f64).max(0.0);
         let available_ms = service.available_in_ms(now_ms);
         let (Some(drain_ms), Some(available_ms)) =
             (service.drain_ms(now_ms, waiting), available_ms)
         else {
-            has_gap = true;
+            is_unservable = true;
             ends_ms.push(ready_ms);
-            own_ends_ms.push(own_ready_ms);
+            unqueued_ends_ms.push(unqueued_ready_ms);
             continue;
         };
         available_in_ms = available_in_ms.max(available_ms);
         let backlog_ms = idle_ms + drain_ms;
-        let turn_ms = turn_ms(now_ms, service, ready_ms);
-        let begin_ms = (ready_ms + turn_ms).max(available_ms as f64);
-        let own_ms = service
+        let server_wait_ms = server_wait_ms(now_ms, service, ready_ms);
+        let begin_ms = (ready_ms + server_wait_ms).max(available_ms as f64);
+        let call_ms = service
             .batching
             .duration_ms(pieces.min(service.batching.batch_pieces));
-        ends_ms.push((begin_ms + own_ms).max(backlog_ms));
-        own_ends_ms.push(own_ready_ms + own_ms);
+        ends_ms.push((begin_ms + call_ms).max(backlog_ms));
+        unqueued_ends_ms.push(unqueued_ready_ms + call_ms);
     }
     Forecast {
         stages_ms: ends_ms.into_iter().fold(0.0, f64::max) as u64,
-        own_ms: own_ends_ms.into_iter().fold(0.0, f64::max) as u64,
+        unqueued_ms: unqueued_ends_ms.into_iter().fold(0.0, f64::max) as u64,
         available_in_ms,
-        has_gap,
+        is_unservable,
     }
 }
 
@@ -140,55 +140,55 @@
 
 /// Tells whether what a request has to wait by its forecast is at most
 /// `percent` of the slack that `goal_ms` leaves.
-fn fits(submission: &Submission, forecast: Forecast, goal_ms: u64, percent: u64) -> bool {
-    let own_ms = forecast.own_ms + submission.rest_ms;
+fn fits_slack(submission: &Submission, forecast: Forecast, goal_ms: u64, percent: u64) -> bool {
+    let unqueued_ms = forecast.unqueued_ms + submission.rest_ms;
     let needed_ms = forecast.stages_ms + submission.rest_ms;
-    let slack_ms = goal_ms.saturating_sub(own_ms);
-    needed_ms <= goal_ms && needed_ms.saturating_sub(own_ms) <= slack_ms * percent / 100
+    let slack_ms = goal_ms.saturating_sub(unqueued_ms);
+    needed_ms <= goal_ms && needed_ms.saturating_sub(unqueued_ms) <= slack_ms * percent / 100
 }
 
 /// Estimates how long a piece waits for a server to come free: none where one
 /// is idle now, else the mean gap between two that end.
-fn turn_ms(now_ms: u64, service: &StageService, ready_ms: f64) -> f64 {
+fn server_wait_ms(now_ms: u64, service: &StageService, ready_ms: f64) -> f64 {
     let is_free_now = service.idle_servers(now_ms) > 0 && service.queue.is_empty();
     if is_free_now && ready_ms == 0.0 {
         return 0.0;
     }
-    let open = service.open_servers(now_ms).max(1);
+    let open = service.available_servers(now_ms).max(1);
     let half = service.batching.batch_pieces / 2;
     service.batching.duration_ms(half) / (open + 1) as f64
 }
 
 /// What has been refused lately.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Refusals {
-    began_ms: u64,
+pub(super) struct RefusalHistory {
+    started_ms: u64,
     last_ms: Option<u64>,
 }
 
-impl Refusals {
+impl RefusalHistory {
     /// Notes a refusal.
-    fn note(&mut self, now_ms: u64) {
+    fn record(&mut self, now_ms: u64) {
         if !self.are_recent(now_ms) {
-            self.began_ms = now_ms;
+            self.started_ms = now_ms;
         }
         self.last_ms = Some(now_ms);
     }
 
     fn are_recent(&self, now_ms: u64) -> bool {
         self.last_ms
-            .is_some_and(|last_ms| now_ms.saturating_sub(last_ms) <= RECENT_MS)
+            .is_some_and(|last_ms| now_ms.saturating_sub(last_ms) <= BURST_GAP_MS)
     }
 
     /// Estimates how long refusals will go on, in ms: until a burst has lasted as
     /// long as it usually does, and for half as long again after that.
     fn remaining_ms(&self, now_ms: u64) -> u64 {
-        let lasted_ms = now_ms.saturating_sub(self.began_ms);
-        if lasted_ms < BURST_BEGINS_MS {
+        let lasted_ms = now_ms.saturating_sub(self.started_ms);
+        if lasted_ms < MIN_BURST_MS {
             return 0;
         }
-        let usual_ms = USUAL_BURST_MS.saturating_sub(lasted_ms);
-        usual_ms.max(lasted_ms / 2)
+        let expected_ms = TYPICAL_BURST_MS.saturating_sub(lasted_ms);
+        expected_ms.max(lasted_ms / 2)
     }
 }
 
@@ -199,10 +199,10 @@
     now_ms: u64,
     submission: &Submission,
     services: &BTreeMap<PoolName, StageService>,
-    refusals: &Refusals,
-) -> Option<Taken> {
+    refusals: &RefusalHistory,
+) -> Option<AdmissionClass> {
     let rank = usize::from(submission.priority).min(USABLE_SLACK_PERCENT.len() - 1);
-    let is_returning = submission.missing_ms >= LEAST_MISSING_MS && refusals.are_recent(now_ms);
+    let is_returning = submission.missing_ms >= MIN_MISSING_MS && refusals.are_recent(now_ms);
     let waited_ms = if is_returning {
         submission.missing_ms
     } else {
@@ -210,16 +210,16 @@
     };
     let goal_ms = submission.goal_left_ms.saturating_sub(waited_ms);
     let in_time = forecast(now_ms, submission, services, LATE_WEIGHT);
-    if in_time.has_gap {
+    if in_time.is_unservable {
         return None;
     }
-    if fits(submission, in_time, goal_ms, USABLE_SLACK_PERCENT[rank]) {
-        return Some(Taken::InTime);
+    if fits_slack(submission, in_time, goal_ms, USABLE_SLACK_PERCENT[rank]) {
+        return Some(AdmissionClass::InTime);
     }
     let late = forecast_all(now_ms, submission, services);
     let goal_ms = submission.goal_left_ms.min(submission.deadline_left_ms);
-    let has_room = fits(submission, late, goal_ms, LATE_USABLE_SLACK_PERCENT);
-    (is_returning && has_room).then_some(Taken::Late)
+    let has_room = fits_slack(submission, late, goal_ms, LATE_USABLE_SLACK_PERCENT);
+    (is_returning && has_room).then_some(AdmissionClass::Late)
 }
 
 /// Estimates when a request that is refused now would be taken: when the queue
@@ -229,17 +229,17 @@
     now_ms: u64,
     submission: &Submission,
     forecast: Forecast,
-    refusals: &mut Refusals,
+    refusals: &mut RefusalHistory,
 ) -> u64 {
-    refusals.note(now_ms);
+    refusals.record(now_ms);
     let needed_ms = forecast.stages_ms + submission.rest_ms;
     let excess_ms = needed_ms.saturating_sub(submission.goal_left_ms);
-    let usual_ms = SHORTEST_RETRY_AFTER_MS + excess_ms + refusals.remaining_ms(now_ms);
-    let usual_ms = usual_ms.min(LONGEST_RETRY_AFTER_MS);
+    let expected_ms = MIN_RETRY_AFTER_MS + excess_ms + refusals.remaining_ms(now_ms);
+    let expected_ms = expected_ms.min(MAX_RETRY_AFTER_MS);
     let hash = xxh3_64(submission.request.as_str().as_bytes());
     match forecast.available_in_ms {
-        0 => usual_ms - usual_ms / 4 + hash % (usual_ms / 2),
+        0 => expected_ms - expected_ms / 4 + hash % (expected_ms / 2),
         // No server takes a piece before the first backoff ends.
-        available_in_ms => return_after_ms(available_in_ms, SHORTEST_RETRY_AFTER_MS, hash),
+        available_in_ms => return_after_ms(available_in_ms, MIN_RETRY_AFTER_MS, hash),
     }
 }
--- a/crates/core/src/stages/calls.rs
+++ b/crates/core/src/stages/calls.rs
@@ -3,11 +3,11 @@
 use super::{
     batch::Batch,
     isolation::Isolation,
-    queue::Waiting,
-    request::{Piece, PieceAt, Request},
+    queue::WaitingPiece,
+    request::{PieceId, PieceState, Request},
     scheduler::{CallOutcome, ItemOutcome, StageScheduler},
     server::Server,
-    work::{CallId, CallItem, ItemInput, Refusal, RequestKey, ResultRef, StageAction, StageCall},
+    types::{CallId, CallItem, ItemInput, Refusal, RequestKey, ResultRef, StageAction, StageCall},
 };
 use crate::{
     ids::{BackendName, PoolName},
@@ -15,15 +15,15 @@
 };
 
 /// Times that pieces of one request are sent again before it is given up.
-pub(super) const MOST_REPEATS: u32 = 24;
+pub(super) const MAX_REPEATS: u32 = 24;
 /// Time of a call, as a multiple of what is usual, after which its pieces are
 /// sent elsewhere: servers that turned slow take five times as long.
-const OVERDUE: f64 = 2.0;
+const OVERDUE_FACTOR: f64 = 2.0;
 /// Time on top of that for the way and a call that is at work, in ms.
-const OVERDUE_SPARE_MS: f64 = 150.0;
+const OVERDUE_MARGIN_MS: f64 = 150.0;
 /// Time by which a look at an overdue call may be late, in ms: turns of a busy
 /// process are shorter.
-const STALL_MS: u64 = 100;
+const STALL_THRESHOLD_MS: u64 = 100;
 /// Time of a call after which its connection is given up, in ms.
 const CALL_TIMEOUT_MS: u64 = 3_000;
 
@@ -32,8 +32,8 @@
 pub(super) struct RunningCall {
     pub(super) service: PoolName,
     pub(super) server: BackendName,
-    pub(super) pieces: Vec<Waiting>,
-    pub(super) began_at_ms: u64,
+    pub(super) pieces: Vec<WaitingPiece>,
+    pub(super) started_at_ms: u64,
     pub(super) expected_ms: f64,
     /// Whether its pieces are sent elsewhere too.
     pub(super) is_overdue: bool,
@@ -45,29 +45,31 @@
         let Some(call) = self.calls.remove(&id) else {
             return;
         };
-        let elapsed_ms = now_ms.saturating_sub(call.began_at_ms) as f64;
+        let elapsed_ms = now_ms.saturating_sub(call.started_at_ms) as f64;
         if *end == CallOutcome::Full {
-            self.contention.on_sign_of_others(now_ms);
+            self.contention.on_contention_sign(now_ms);
         }
-        if call.was_missed(now_ms) {
-            self.contention.on_sign_of_others(now_ms);
+        if call.was_checked_late(now_ms) {
+            self.contention.on_contention_sign(now_ms);
         }
-        let is_alone = self.contention.is_alone(now_ms);
+        let is_sole_scheduler = self.contention.is_sole_scheduler(now_ms);
         if let Some(service) = self.services.get_mut(&call.service) {
-            service.running = service.running.saturating_sub(call.pieces.len());
+            service.running_pieces = service.running_pieces.saturating_sub(call.pieces.len());
         }
         if let Some(server) = self.server_mut(&call) {
             server.calls = server.calls.saturating_sub(1);
             if matches!(end, CallOutcome::Answered(_)) {
-                server.on_taken();
+                server.on_accepted();
             }
             match end {
                 // Beside other schedulers it says nothing of the server.
-                CallOutcome::Answered(_) if !is_alone => {}
-                CallOutcome::Answered(_) => server.on_answer(now_ms, elapsed_ms, call.expected_ms),
+                CallOutcome::Answered(_) if !is_sole_scheduler => {}
+                CallOutcome::Answered(_) => {
+                    server.record_latency(now_ms, elapsed_ms, call.expected_ms)
+                }
                 CallOutcome::Full => server.on_full(now_ms),
                 CallOutcome::BackingOff(until_ms) => server.on_backoff(*until_ms),
-                CallOutcome::Misdirected => server.is_closed = true,
+                CallOutcome::Misdirected => server.is_excluded = true,
                 CallOutcome::Unreachable | CallOutcome::Lost | CallOutcome::ServerEnded(_) => {
                     server.on_failure(now_ms);
                     let addr = server.addr;
@@ -77,7 +79,7 @@
             }
         }
         if let Some(service) = self.services.get_mut(&call.service) {
-            service.use_slow_rather_than_none(now_ms);
+            service.use_slow_if_no_other(now_ms);
         }
         match end {
             CallOutcome::Answered(items) => {
@@ -91,8 +93,8 @@
             | CallOutcome::Misdirected
             | CallOutcome::Unreachable => {
                 for waiting in &call.pieces {
-                    self.release_room(&call, waiting);
-                    self.wait_again(now_ms, id, waiting, false);
+                    self.release_memory(&call, waiting);
+                    self.requeue_piece(now_ms, id, waiting, false);
                 }
             }
             CallOutcome::Lost | CallOutcome::ServerEnded(_) => {
@@ -100,8 +102,8 @@
                     self.on_ends(now_ms, ends);
                 }
                 for waiting in &call.pieces {
-                    self.release_room(&call, waiting);
-                    self.wait_again(now_ms, id, waiting, true);
+                    self.release_memory(&call, waiting);
+                    self.requeue_piece(now_ms, id, waiting, true);
                 }
             }
         }
@@ -150,12 +152,12 @@
         let id = CallId(self.last_call);
         let items = batch.pieces.iter().filter_map(|waiting| {
             let request = self.requests.get_mut(&waiting.key)?;
-            *request.piece_mut(waiting.at)? = Piece::Running(id);
-            Some(call_item(now_ms, request, waiting.at))
+            *request.piece_state_mut(waiting.piece_id)? = PieceState::Running(id);
+            Some(call_item(now_ms, request, waiting.piece_id))
         });
         let items: Vec<CallItem> = items.collect();
         for waiting in &batch.pieces {
-            self.on_fetching(now_ms, &waiting.key, waiting.at.stage);
+            self.record_fetch(now_ms, &waiting.key, waiting.piece_id.stage);
         }
         let Some(service) = self.services.get_mut(name) else {
             return;
@@ -165,8 +167,8 @@
             return;
         };
         server.calls += 1;
-        server.on_called(now_ms);
-        service.running += items.len();
+        server.record_call(now_ms);
+        service.running_pieces += items.len();
         self.actions.push(StageAction::Call(StageCall {
             id,
             service: name.clone(),
@@ -179,7 +181,7 @@
             service: name.clone(),
             server: batch.server,
             pieces: batch.pieces,
-            began_at_ms: now_ms,
+            started_at_ms: now_ms,
             expected_ms,
             is_overdue: false,
         };
@@ -191,34 +193,34 @@
         now_ms: u64,
         id: CallId,
         call: &RunningCall,
-        waiting: &Waiting,
+        waiting: &WaitingPiece,
         end: &ItemOutcome,
     ) {
         let ItemOutcome::Done(handle) = end else {
-            self.release_room(call, waiting);
+            self.release_memory(call, waiting);
             match end {
                 ItemOutcome::Late => self.refuse(now_ms, &waiting.key, Refusal::TooLate),
-                ItemOutcome::InputGone => self.redo_inputs(now_ms, id, waiting),
+                ItemOutcome::InputGone => self.regenerate_inputs(now_ms, id, waiting),
                 ItemOutcome::NoRoom => {
                     if let Some(server) = self.server_mut(call) {
-                        server.on_no_room(now_ms);
+                        server.on_memory_full(now_ms);
                     }
-                    self.wait_again(now_ms, id, waiting, false);
+                    self.requeue_piece(now_ms, id, waiting, false);
                 }
                 ItemOutcome::Failed | ItemOutcome::Done(_) => {
-                    self.wait_again(now_ms, id, waiting, true)
+                    self.requeue_piece(now_ms, id, waiting, true)
                 }
             }
             return;
         };
         let Some(zone) = self.server_mut(call).map(|server| server.zone.clone()) else {
             // Its server has left the register, and the result goes with it.
-            return self.wait_again(now_ms, id, waiting, true);
+            return self.requeue_piece(now_ms, id, waiting, true);
         };
-        self.keep(now_ms, call, waiting, handle);
+        self.record_result(now_ms, call, waiting, handle);
         let wanted = self.requests.get_mut(&waiting.key).filter(|request| {
-            let piece = request.piece(waiting.at);
-            matches!(piece, Some(Piece::Running(_) | Piece::Waiting))
+            let piece = request.piece_state(waiting.piece_id);
+            matches!(piece, Some(PieceState::Running(_) | PieceState::Waiting))
         });
         let Some(request) = wanted else {
             // Its request is gone or has this result from elsewhere.
@@ -227,11 +229,11 @@
         };
         // The next stage may go with others again; an end there says so anew.
         request.submission.ends = 0;
-        let taken = request.taken;
-        let order = request.order(waiting.at);
-        let bytes = request.submission.stages[waiting.at.stage].result_bytes;
-        if let Some(piece) = request.piece_mut(waiting.at) {
-            *piece = Piece::Done {
+        let admission_class = request.admission_class;
+        let queue_key = request.queue_key(waiting.piece_id);
+        let bytes = request.submission.stages[waiting.piece_id.stage].result_bytes;
+        if let Some(piece) = request.piece_state_mut(waiting.piece_id) {
+            *piece = PieceState::Done {
                 server: call.server.clone(),
                 result: ResultRef {
                     handle: handle.clone(),
@@ -241,51 +243,51 @@
             };
         }
         if let Some(service) = self.services.get_mut(&call.service) {
-            service.committed.remove(taken, 1);
-            service.on_piece_done(now_ms.saturating_sub(waiting.since_ms) as f64);
+            service.committed.remove(admission_class, 1);
+            service.on_piece_done(now_ms.saturating_sub(waiting.ready_at_ms) as f64);
             // It waits if its call was overdue.
-            service.queue.take(&order);
+            service.queue.take(&queue_key);
         }
         self.advance(now_ms, &waiting.key);
     }
 
     /// Makes a piece wait for a server again; `may_have_run` tells whether a
     /// server may have produced it, so that this is a repeat.
-    pub(super) fn wait_again(
+    pub(super) fn requeue_piece(
         &mut self,
         now_ms: u64,
         id: CallId,
-        waiting: &Waiting,
+        waiting: &WaitingPiece,
         may_have_run: bool,
     ) {
         let Some(request) = self.requests.get_mut(&waiting.key) else {
             return;
         };
-        if request.piece(waiting.at) != Some(&Piece::Running(id)) {
+        if request.piece_state(waiting.piece_id) != Some(&PieceState::Running(id)) {
             return;
         }
-        if request.inputs_are_freed(waiting.at.stage) {
-            return self.redo_inputs(now_ms, id, waiting);
+        if request.has_freed_inputs(waiting.piece_id.stage) {
+            return self.regenerate_inputs(now_ms, id, waiting);
         }
         // Its inputs may have been lost while it was on its way.
-        let has_inputs = request.has_inputs(waiting.at.stage);
-        if let Some(piece) = request.piece_mut(waiting.at) {
+        let has_inputs = request.has_inputs(waiting.piece_id.stage);
+        if let Some(piece) = request.piece_state_mut(waiting.piece_id) {
             *piece = if has_inputs {
-                Piece::Waiting
+                PieceState::Waiting
             } else {
-                Piece::Blocked
+                PieceState::Blocked
             };
         }
         request.repeats += u32::from(may_have_run);
-        if request.repeats > MOST_REPEATS {
+        if request.repeats > MAX_REPEATS {
             return self.refuse(now_ms, &waiting.key, Refusal::Failed);
         }
-        let stage = &request.submission.stages[waiting.at.stage];
+        let stage = &request.submission.stages[waiting.piece_id.stage];
         let waits = has_inputs && !request.is_moving;
         if waits && let Some(service) = self.services.get_mut(&stage.service) {
             service
                 .queue
-                .add(request.order(waiting.at), waiting.clone());
+                .add(request.queue_key(waiting.piece_id), waiting.clone());
         }
     }
 
@@ -301,23 +303,23 @@
             let Some(call) = self.calls.get_mut(&id) else {
                 continue;
             };
-            if call.was_missed(now_ms) {
-                self.contention.on_sign_of_others(now_ms);
+            if call.was_checked_late(now_ms) {
+                self.contention.on_contention_sign(now_ms);
             }
             call.is_overdue = true;
             let pieces = call.pieces.clone();
             let (service, server) = (call.service.clone(), call.server.clone());
-            let elapsed_ms = now_ms.saturating_sub(call.began_at_ms) as f64;
+            let elapsed_ms = now_ms.saturating_sub(call.started_at_ms) as f64;
             let expected_ms = call.expected_ms;
-            if self.contention.is_alone(now_ms)
+            if self.contention.is_sole_scheduler(now_ms)
                 && let Some(service) = self.services.get_mut(&service)
                 && let Some(server) = service.servers.get_mut(&server)
             {
-                server.on_answer(now_ms, elapsed_ms, expected_ms);
-                service.use_slow_rather_than_none(now_ms);
+                server.record_latency(now_ms, elapsed_ms, expected_ms);
+                service.use_slow_if_no_other(now_ms);
             }
             for waiting in &pieces {
-                self.wait_again(now_ms, id, waiting, true);
+                self.requeue_piece(now_ms, id, waiting, true);
             }
         }
     }
@@ -327,33 +329,35 @@
         service.servers.get_mut(&call.server)
     }
 
-    pub(super) fn release_room(&mut self, call: &RunningCall, waiting: &Waiting) {
+    pub(super) fn release_memory(&mut self, call: &RunningCall, waiting: &WaitingPiece) {
         if let Some(server) = self.server_mut(call) {
-            server.room_used = server.room_used.saturating_sub(waiting.bytes);
+            server.used_memory_bytes = server
+                .used_memory_bytes
+                .saturating_sub(waiting.result_bytes);
         }
     }
 }
 
 impl RunningCall {
     pub(super) fn overdue_at_ms(&self) -> u64 {
-        self.began_at_ms + (self.expected_ms * OVERDUE + OVERDUE_SPARE_MS) as u64
+        self.started_at_ms + (self.expected_ms * OVERDUE_FACTOR + OVERDUE_MARGIN_MS) as u64
     }
 
     /// Tells whether it should have been noticed as overdue some time ago: then
     /// this process stood still, and not the server.
-    fn was_missed(&self, now_ms: u64) -> bool {
-        !self.is_overdue && now_ms > self.overdue_at_ms() + STALL_MS
+    fn was_checked_late(&self, now_ms: u64) -> bool {
+        !self.is_overdue && now_ms > self.overdue_at_ms() + STALL_THRESHOLD_MS
     }
 }
 
-fn call_item(now_ms: u64, request: &Request, at: PieceAt) -> CallItem {
-    let inputs = request.inputs(at.stage);
-    let has_key = request.submission.stages[at.stage].after.is_empty();
+fn call_item(now_ms: u64, request: &Request, piece_id: PieceId) -> CallItem {
+    let inputs = request.inputs(piece_id.stage);
+    let has_key = request.submission.stages[piece_id.stage].after.is_empty();
     CallItem {
         request: request.submission.request.clone(),
         digest: request.submission.digest,
-        stage: at.stage,
-        piece: at.piece,
+        stage: piece_id.stage,
+        piece: piece_id.piece,
         left_ms: request.deadline_at_ms.saturating_sub(now_ms),
         input: if has_key {
             ItemInput::Key(request.submission.piece_key.clone())
--- a/crates/core/src/stages/contention.rs
+++ b/crates/core/src/stages/contention.rs
@@ -9,23 +9,23 @@
 /// Time for which a scheduler that has begun, or met a full server, is not sure
 /// to be the only one, in ms: the next one is found within 1 s, and a call that
 /// the last one began then is over after one more.
-const UNSURE_MS: u64 = 2_000;
+const CONTENTION_MS: u64 = 2_000;
 /// Time without a request after which a scheduler begins anew, in ms.
-const IDLE_MS: u64 = 1_000;
+const IDLE_RESET_MS: u64 = 1_000;
 
 /// When other schedulers may have called last.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Contention {
-    submitted_ms: Option<u64>,
-    unsure_until_ms: u64,
+    last_submission_ms: Option<u64>,
+    contended_until_ms: u64,
 }
 
 impl Contention {
     /// Notes a request that was submitted.
     pub(super) fn on_submission(&mut self, now_ms: u64) {
-        let last_ms = self.submitted_ms.replace(now_ms);
-        if last_ms.is_none_or(|last_ms| now_ms > last_ms + IDLE_MS) {
-            self.unsure_until_ms = now_ms + UNSURE_MS;
+        let last_ms = self.last_submission_ms.replace(now_ms);
+        if last_ms.is_none_or(|last_ms| now_ms > last_ms + IDLE_RESET_MS) {
+            self.contended_until_ms = now_ms + CONTENTION_MS;
         }
     }
 
@@ -33,12 +33,12 @@
     /// although this scheduler has no other one there, or a time in which this
     /// process stood still, so that the calls that it had say nothing of their
     /// servers.
-    pub(super) fn on_sign_of_others(&mut self, now_ms: u64) {
-        self.unsure_until_ms = now_ms + UNSURE_MS;
+    pub(super) fn on_contention_sign(&mut self, now_ms: u64) {
+        self.contended_until_ms = now_ms + CONTENTION_MS;
     }
 
     /// Tells whether what calls take is the servers' own doing.
-    pub(super) fn is_alone(&self, now_ms: u64) -> bool {
-        now_ms >= self.unsure_until_ms
+    pub(super) fn is_sole_scheduler(&self, now_ms: u64) -> bool {
+        now_ms >= self.contended_until_ms
     }
 }
--- a/crates/core/src/stages/handover.rs
+++ b/crates/core/src/stages/handover.rs
@@ -6,7 +6,7 @@
 use super::{
     progress::uncommit,
     scheduler::StageScheduler,
-    work::{RequestKey, StageAction, StageOutcome},
+    types::{RequestKey, StageAction, StageOutcome},
 };
 use crate::ids::InstanceName;
 
@@ -14,7 +14,7 @@
     /// Hands every request that is not finished over to the scheduler `to`, as
     /// soon as none of its pieces is at work.
     pub fn hand_over(&mut self, now_ms: u64, to: Option<&InstanceName>) {
-        self.contention.on_sign_of_others(now_ms);
+        self.contention.on_contention_sign(now_ms);
         self.is_handing_over = true;
         self.successor = to.cloned();
         for service in self.services.values_mut() {
@@ -23,11 +23,11 @@
         for request in self.requests.values_mut() {
             request.is_moving = !request.is_finished;
         }
-        self.move_idle();
+        self.hand_over_idle();
     }
 
     /// Hands over the requests that are to be and have no piece at work.
-    pub(super) fn move_idle(&mut self) {
+    pub(super) fn hand_over_idle(&mut self) {
         if !self.is_handing_over {
             return;
         }
@@ -46,7 +46,7 @@
             uncommit(&mut self.services, &request);
             // Their servers keep the results for the one that takes over.
             let outcome = StageOutcome::Moved {
-                done: request.done(),
+                done: request.done_pieces(),
                 to: self.successor.clone(),
             };
             self.actions.push(StageAction::Finish { key, outcome });
--- a/crates/core/src/stages/isolation.rs
+++ b/crates/core/src/stages/isolation.rs
@@ -9,18 +9,18 @@
 
 use std::collections::{HashMap, HashSet};
 
-use super::{calls::RunningCall, request::Request, work::RequestKey};
+use super::{calls::RunningCall, request::Request, types::RequestKey};
 use crate::poison::{CRASHES_TO_ISOLATE, RequestDigest};
 
 /// A request as far as it is a suspect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Suspicion {
+pub(super) struct CrashCount {
     pub(super) digest: RequestDigest,
     /// Servers that have ended under it.
     pub(super) ends: u32,
 }
 
-impl Suspicion {
+impl CrashCount {
     pub(super) fn of(request: &Request) -> Self {
         Self {
             digest: request.submission.digest,
@@ -33,7 +33,7 @@
     }
 
     /// Returns how many suspects one call may have that has this one.
-    fn most_beside(&self, batch_pieces: usize) -> usize {
+    fn max_suspects(&self, batch_pieces: usize) -> usize {
         if self.ends >= CRASHES_TO_ISOLATE {
             return 1;
         }
@@ -43,40 +43,44 @@
 
 /// The suspects of one call that is being filled.
 #[derive(Debug)]
-pub(super) struct Company {
+pub(super) struct SuspectGroup {
     batch_pieces: usize,
     digests: Vec<RequestDigest>,
     /// How many there may be, by the most suspect of them.
-    most: usize,
+    max_suspects: usize,
 }
 
-impl Company {
+impl SuspectGroup {
     pub(super) fn new(batch_pieces: usize) -> Self {
         Self {
             batch_pieces,
             digests: Vec::new(),
-            most: batch_pieces,
+            max_suspects: batch_pieces,
         }
     }
 
     /// Tells whether a call with this company, and with any piece yet if `is_begun`,
     /// takes a piece of `request`.
-    pub(super) fn takes(&self, is_begun: bool, request: &Suspicion) -> bool {
+    pub(super) fn accepts(&self, is_begun: bool, request: &CrashCount) -> bool {
         if !request.is_suspect() {
             return self.digests.is_empty();
         }
         if !is_begun || self.digests.contains(&request.digest) {
             return true;
         }
-        let most = self.most.min(request.most_beside(self.batch_pieces));
-        !self.digests.is_empty() && self.digests.len() < most
+        let max_suspects = self
+            .max_suspects
+            .min(request.max_suspects(self.batch_pieces));
+        !self.digests.is_empty() && self.digests.len() < max_suspects
     }
 
-    pub(super) fn add(&mut self, request: &Suspicion) {
+    pub(super) fn add(&mut self, request: &CrashCount) {
         if !request.is_suspect() || self.digests.contains(&request.digest) {
             return;
         }
-        self.most = self.most.min(request.most_beside(self.batch_pieces));
+        self.max_suspects = self
+            .max_suspects
+            .min(request.max_suspects(self.batch_pieces));
         self.digests.push(request.digest);
     }
 }
@@ -85,8 +89,8 @@
 /// request are in one call at a time, else each could end a server.
 #[derive(Debug, Default)]
 pub(super) struct Isolation {
-    at_work: HashSet<RequestDigest>,
-    placed: HashMap<RequestDigest, usize>,
+    running: HashSet<RequestDigest>,
+    assigned: HashMap<RequestDigest, usize>,
 }
 
 impl Isolation {
@@ -96,29 +100,30 @@
         requests: &HashMap<RequestKey, Request>,
     ) -> Self {
         let pieces = calls.into_iter().flat_map(|call| &call.pieces);
-        let at_work = pieces
+        let running = pieces
             .filter_map(|waiting| requests.get(&waiting.key))
-            .map(Suspicion::of)
-            .filter(Suspicion::is_suspect)
+            .map(CrashCount::of)
+            .filter(CrashCount::is_suspect)
             .map(|suspect| suspect.digest);
         Self {
-            at_work: at_work.collect(),
-            placed: HashMap::new(),
+            running: running.collect(),
+            assigned: HashMap::new(),
         }
     }
 
     /// Tells whether a piece of `request` may go into the call `index`.
-    pub(super) fn allows(&self, request: &Suspicion, index: usize) -> bool {
+    pub(super) fn allows(&self, request: &CrashCount, index: usize) -> bool {
         if !request.is_suspect() {
             return true;
         }
-        let placed = self.placed.get(&request.digest);
-        !self.at_work.contains(&request.digest) && placed.is_none_or(|at| *at == index)
+        let assigned = self.assigned.get(&request.digest);
+        !self.running.contains(&request.digest)
+            && assigned.is_none_or(|assigned_index| *assigned_index == index)
     }
 
-    pub(super) fn place(&mut self, request: &Suspicion, index: usize) {
+    pub(super) fn assign(&mut self, request: &CrashCount, index: usize) {
         if request.is_suspect() {
-            self.placed.insert(request.digest, index);
+            self.assigned.insert(request.digest, index);
         }
     }
 }
--- a/crates/core/src/stages/progress.rs
+++ b/crates/core/src/stages/progress.rs
@@ -4,12 +4,12 @@
 
 use super::{
     admission,
-    calls::MOST_REPEATS,
-    queue::Waiting,
-    request::{Piece, Request},
+    calls::MAX_REPEATS,
+    queue::WaitingPiece,
+    request::{PieceState, Request},
     scheduler::StageScheduler,
     service::StageService,
-    work::{CallId, Refusal, RequestKey, StageAction, StageOutcome, Submission},
+    types::{CallId, Refusal, RequestKey, StageAction, StageOutcome, Submission},
 };
 use crate::ids::{BackendName, PoolName};
 
@@ -17,7 +17,7 @@
 const NO_SERVER_RETRY_AFTER_MS: u64 = 500;
 /// Time after which the results of a request that nobody releases are dropped
 /// from the books, in ms; servers drop them by themselves.
-const BOOK_SPARE_MS: u64 = 1_000;
+const RELEASE_GRACE_MS: u64 = 1_000;
 
 impl StageScheduler {
     /// Returns the time that follows each stage until the answer begins.
@@ -27,14 +27,14 @@
             if stage.pieces == 0 {
                 continue;
             }
-            let usual_ms = self
+            let mean_latency_ms = self
                 .services
                 .get(&stage.service)
-                .map_or(0, |service| service.usual_ms as u64);
-            let with_own_ms = rest_ms[index] + usual_ms;
+                .map_or(0, |service| service.mean_latency_ms as u64);
+            let with_stage_ms = rest_ms[index] + mean_latency_ms;
             for needed in &stage.after {
                 if let Some(rest) = rest_ms.get_mut(*needed) {
-                    *rest = (*rest).max(with_own_ms);
+                    *rest = (*rest).max(with_stage_ms);
                 }
             }
         }
@@ -42,19 +42,22 @@
     }
 
     /// Notes that a request can't make its goal.
-    pub(super) fn give_up_goal(&mut self, key: &RequestKey) {
+    pub(super) fn mark_late(&mut self, key: &RequestKey) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
-        let waiting = request.waiting();
-        let before: Vec<_> = waiting.iter().map(|at| request.order(*at)).collect();
+        let waiting = request.waiting_pieces();
+        let before: Vec<_> = waiting
+            .iter()
+            .map(|piece_id| request.queue_key(*piece_id))
+            .collect();
         request.is_late = true;
-        for (at, before) in waiting.into_iter().zip(before) {
-            let service = &request.submission.stages[at.stage].service;
+        for (piece_id, before) in waiting.into_iter().zip(before) {
+            let service = &request.submission.stages[piece_id.stage].service;
             if let Some(service) = self.services.get_mut(service)
                 && let Some(waiting) = service.queue.take(&before)
             {
-                service.queue.add(request.order(at), waiting);
+                service.queue.add(request.queue_key(piece_id), waiting);
             }
         }
     }
@@ -71,16 +74,16 @@
         } else {
             request.unblock()
         };
-        for at in ready {
-            let stage = &request.submission.stages[at.stage];
+        for piece_id in ready {
+            let stage = &request.submission.stages[piece_id.stage];
             if let Some(service) = self.services.get_mut(&stage.service) {
-                let waiting = Waiting {
+                let waiting = WaitingPiece {
                     key: key.clone(),
-                    at,
-                    since_ms: now_ms,
-                    bytes: stage.result_bytes,
+                    piece_id,
+                    ready_at_ms: now_ms,
+                    result_bytes: stage.result_bytes,
                 };
-                service.queue.add(request.order(at), waiting);
+                service.queue.add(request.queue_key(piece_id), waiting);
             }
         }
         if request.is_done() && !request.is_finished {
@@ -93,15 +96,15 @@
         self.free_results(unneeded);
     }
 
-    pub(super) fn redo_inputs(&mut self, now_ms: u64, id: CallId, waiting: &Waiting) {
+    pub(super) fn regenerate_inputs(&mut self, now_ms: u64, id: CallId, waiting: &WaitingPiece) {
         let Some(request) = self.requests.get_mut(&waiting.key) else {
             return;
         };
-        if request.piece(waiting.at) != Some(&Piece::Running(id)) {
+        if request.piece_state(waiting.piece_id) != Some(&PieceState::Running(id)) {
             return;
         }
         request.repeats += 1;
-        if request.repeats > MOST_REPEATS {
+        if request.repeats > MAX_REPEATS {
             return self.refuse(now_ms, &waiting.key, Refusal::Failed);
         }
         let services = &self.services;
@@ -110,25 +113,25 @@
             all.any(|service| service.servers.contains_key(server))
         };
         let before = request.unfinished_by_stage();
-        let waited = request.waiting();
-        if let Some(piece) = request.piece_mut(waiting.at) {
-            *piece = Piece::Blocked;
+        let waited = request.waiting_pieces();
+        if let Some(piece) = request.piece_state_mut(waiting.piece_id) {
+            *piece = PieceState::Blocked;
         }
-        request.redo_inputs(waiting.at.stage, is_known);
+        request.regenerate_inputs(waiting.piece_id.stage, is_known);
         let after = request.unfinished_by_stage();
         for (stage, (before, after)) in before.into_iter().zip(after).enumerate() {
             let name = &request.submission.stages[stage].service;
             if let Some(service) = self.services.get_mut(name) {
                 let again = after.saturating_sub(before);
-                service.committed.add(request.taken, again);
+                service.committed.add(request.admission_class, again);
             }
         }
-        for at in waited {
-            let name = &request.submission.stages[at.stage].service;
-            if request.piece(at) != Some(&Piece::Waiting)
+        for piece_id in waited {
+            let name = &request.submission.stages[piece_id.stage].service;
+            if request.piece_state(piece_id) != Some(&PieceState::Waiting)
                 && let Some(service) = self.services.get_mut(name)
             {
-                service.queue.take(&request.order(at));
+                service.queue.take(&request.queue_key(piece_id));
             }
         }
         self.advance(now_ms, &waiting.key);
@@ -160,7 +163,7 @@
             return StageOutcome::ends_servers();
         }
         let forecast = admission::forecast_all(now_ms, submission, &self.services);
-        let (reason, retry_after_ms) = if forecast.has_gap {
+        let (reason, retry_after_ms) = if forecast.is_unservable {
             (Refusal::NoServer, NO_SERVER_RETRY_AFTER_MS)
         } else {
             let refusals = &mut self.refusals;
@@ -179,10 +182,10 @@
             return;
         };
         uncommit(&mut self.services, &request);
-        for at in request.waiting() {
-            let name = &request.submission.stages[at.stage].service;
+        for piece_id in request.waiting_pieces() {
+            let name = &request.submission.stages[piece_id.stage].service;
             if let Some(service) = self.services.get_mut(name) {
-                service.queue.take(&request.order(at));
+                service.queue.take(&request.queue_key(piece_id));
             }
         }
         let unneeded = request.take_unneeded(true);
@@ -212,7 +215,7 @@
     /// Returns the time at which it is of no use to go on, in ms.
     pub(super) fn drop_at_ms(&self) -> u64 {
         if self.is_finished {
-            self.deadline_at_ms + BOOK_SPARE_MS
+            self.deadline_at_ms + RELEASE_GRACE_MS
         } else {
             self.deadline_at_ms
         }
@@ -224,7 +227,9 @@
     for (stage, unfinished) in request.unfinished_by_stage().into_iter().enumerate() {
         let name = &request.submission.stages[stage].service;
         if let Some(service) = services.get_mut(name) {
-            service.committed.remove(request.taken, unfinished);
+            service
+                .committed
+                .remove(request.admission_class, unfinished);
         }
     }
 }
--- a/crates/core/src/stages/request.rs
+++ b/crates/core/src/stages/request.rs
@@ -4,22 +4,22 @@
 
 use super::{
     CallId, Submission,
-    queue::QueueOrder,
-    service::Taken,
-    work::{DonePiece, ResultRef},
+    queue::QueueKey,
+    service::AdmissionClass,
+    types::{DonePiece, ResultRef},
 };
 use crate::ids::{BackendName, ZoneName};
 
 /// Time by which the pieces of a request of one rank less go later than they
 /// have to, in ms: half of a call, so that among requests that came together
 /// the more urgent fill the next call.
-const RANK_MS: u64 = 150;
+const RANK_DELAY_MS: u64 = 150;
 /// Most such time, in ms: ranks below the fourth are not told apart.
-pub(super) const MOST_RANK_MS: u64 = 4 * RANK_MS;
+pub(super) const MAX_RANK_DELAY_MS: u64 = 4 * RANK_DELAY_MS;
 
 /// Where one piece stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Piece {
+pub(super) enum PieceState {
     /// Results that it needs are missing.
     Blocked,
     /// It waits for a backend server.
@@ -39,7 +39,7 @@
 
 /// Names one piece of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(super) struct PieceAt {
+pub(super) struct PieceId {
     pub(super) stage: usize,
     pub(super) piece: u32,
 }
@@ -57,13 +57,13 @@
     /// Time that follows each stage until the answer begins, in ms.
     pub(super) rest_ms: Vec<u64>,
     /// Pieces of each stage.
-    pub(super) pieces: Vec<Vec<Piece>>,
+    pub(super) pieces: Vec<Vec<PieceState>>,
     /// Zone in which the results of its middle stages are collected.
-    pub(super) zone: Option<ZoneName>,
+    pub(super) intermediate_zone: Option<ZoneName>,
     /// Pieces that were sent again after a failure.
     pub(super) repeats: u32,
     /// How it was taken.
-    pub(super) taken: Taken,
+    pub(super) admission_class: AdmissionClass,
     /// Whether it can't make its goal any more; it is done with what the others
     /// leave, and nobody waits for it.
     pub(super) is_late: bool,
@@ -79,67 +79,67 @@
         number: u64,
         submission: Submission,
         rest_ms: Vec<u64>,
-        taken: Taken,
+        admission_class: AdmissionClass,
     ) -> Self {
-        let mut pieces: Vec<Vec<Piece>> = submission
+        let mut pieces: Vec<Vec<PieceState>> = submission
             .stages
             .iter()
-            .map(|stage| vec![Piece::Blocked; stage.pieces as usize])
+            .map(|stage| vec![PieceState::Blocked; stage.pieces as usize])
             .collect();
         for done in &submission.done {
             let stage = pieces.get_mut(done.stage);
             let piece = stage.and_then(|stage| stage.get_mut(done.piece as usize));
             if let Some(piece) = piece {
                 *piece = match &done.kept {
-                    Some((server, result)) => Piece::Done {
+                    Some((server, result)) => PieceState::Done {
                         server: server.clone(),
                         result: result.clone(),
                     },
-                    None => Piece::Freed,
+                    None => PieceState::Freed,
                 };
             }
         }
         Self {
             goal_at_ms: now_ms + submission.goal_left_ms,
             deadline_at_ms: now_ms + submission.deadline_left_ms,
-            zone: None,
+            intermediate_zone: None,
             rest_ms,
             pieces,
             submission,
             number,
             repeats: 0,
-            taken,
+            admission_class,
             is_moving: false,
-            is_late: taken == Taken::Late,
+            is_late: admission_class == AdmissionClass::Late,
             is_finished: false,
         }
     }
 
     /// Returns where a piece stands in its queue.
-    pub(super) fn order(&self, at: PieceAt) -> QueueOrder {
-        let rank_ms = u64::from(self.submission.priority) * RANK_MS;
-        let begin_by_ms =
-            (self.goal_at_ms + rank_ms.min(MOST_RANK_MS)).saturating_sub(self.rest_ms[at.stage]);
-        QueueOrder {
+    pub(super) fn queue_key(&self, piece_id: PieceId) -> QueueKey {
+        let rank_delay_ms = u64::from(self.submission.priority) * RANK_DELAY_MS;
+        let latest_start_ms = (self.goal_at_ms + rank_delay_ms.min(MAX_RANK_DELAY_MS))
+            .saturating_sub(self.rest_ms[piece_id.stage]);
+        QueueKey {
             is_late: self.is_late,
-            time_ms: if self.is_late {
+            sort_ms: if self.is_late {
                 self.deadline_at_ms
             } else {
-                begin_by_ms
+                latest_start_ms
             },
-            request: self.number,
-            at,
+            request_number: self.number,
+            piece_id,
         }
     }
 
     /// Returns the pieces that wait for a server.
-    pub(super) fn waiting(&self) -> Vec<PieceAt> {
+    pub(super) fn waiting_pieces(&self) -> Vec<PieceId> {
         let mut waiting = Vec::new();
         for (stage, pieces) in self.pieces.iter().enumerate() {
             for (piece, state) in pieces.iter().enumerate() {
-                if *state == Piece::Waiting {
+                if *state == PieceState::Waiting {
                     let piece = piece as u32;
-                    waiting.push(PieceAt { stage, piece });
+                    waiting.push(PieceId { stage, piece });
                 }
             }
         }
@@ -147,17 +147,17 @@
     }
 
     /// Makes pieces wait whose results are all there, and names them.
-    pub(super) fn unblock(&mut self) -> Vec<PieceAt> {
+    pub(super) fn unblock(&mut self) -> Vec<PieceId> {
         let mut ready = Vec::new();
         for stage in 0..self.pieces.len() {
             if !self.has_inputs(stage) {
                 continue;
             }
             for (piece, state) in self.pieces[stage].iter_mut().enumerate() {
-                if *state == Piece::Blocked {
-                    *state = Piece::Waiting;
+                if *state == PieceState::Blocked {
+                    *state = PieceState::Waiting;
                     let piece = piece as u32;
-                    ready.push(PieceAt { stage, piece });
+                    ready.push(PieceId { stage, piece });
                 }
             }
         }
@@ -172,27 +172,27 @@
 
     /// Returns what a piece of a stage and those that need its result fetch, in
     /// bytes: each piece fetches the results of all pieces before it.
-    pub(super) fn fetched_bytes(&self, stage: usize) -> u64 {
+    pub(super) fn transfer_bytes(&self, stage: usize) -> u64 {
         let stages = &self.submission.stages;
-        let users = stages.iter().filter(|other| other.after.contains(&stage));
-        let users: u64 = users.map(|other| u64::from(other.pieces)).sum();
-        self.input_bytes(stage) + stages[stage].result_bytes * users.max(1)
+        let dependents = stages.iter().filter(|other| other.after.contains(&stage));
+        let dependents: u64 = dependents.map(|other| u64::from(other.pieces)).sum();
+        self.input_bytes(stage) + stages[stage].result_bytes * dependents.max(1)
     }
 
     /// Returns the zone in which a stage is best made. Drawing every stage to the
     /// engine's zone costs 0.007 of the worth of a day (standard error 0.004, 36
     /// days played with and without it).
-    pub(super) fn zone_of(&self, stage: usize) -> Option<&ZoneName> {
-        if self.is_pulled_home(stage) {
+    pub(super) fn preferred_zone(&self, stage: usize) -> Option<&ZoneName> {
+        if self.prefers_home_zone(stage) {
             self.submission.home_zone.as_ref()
         } else {
-            self.zone.as_ref()
+            self.intermediate_zone.as_ref()
         }
     }
 
     /// Tells whether the engine that fetches the results of a stage matters more
     /// for where it is made than the results that the stage needs.
-    pub(super) fn is_pulled_home(&self, stage: usize) -> bool {
+    pub(super) fn prefers_home_zone(&self, stage: usize) -> bool {
         self.is_final(stage) && self.submission.stages[stage].result_bytes > self.input_bytes(stage)
     }
 
@@ -208,7 +208,7 @@
         pieces.is_none_or(|pieces| {
             pieces
                 .iter()
-                .all(|piece| matches!(piece, Piece::Done { .. } | Piece::Freed))
+                .all(|piece| matches!(piece, PieceState::Done { .. } | PieceState::Freed))
         })
     }
 
@@ -222,19 +222,23 @@
     }
 
     /// Returns the pieces of each stage that are not done.
-    pub(super) fn unfinished(&self, stage: usize) -> usize {
+    pub(super) fn unfinished_pieces(&self, stage: usize) -> usize {
         self.pieces[stage]
             .iter()
-            .filter(|piece| !matches!(piece, Piece::Done { .. } | Piece::Freed))
+            .filter(|piece| !matches!(piece, PieceState::Done { .. } | PieceState::Freed))
             .count()
     }
 
-    pub(super) fn piece_mut(&mut self, at: PieceAt) -> Option<&mut Piece> {
-        self.pieces.get_mut(at.stage)?.get_mut(at.piece as usize)
+    pub(super) fn piece_state_mut(&mut self, piece_id: PieceId) -> Option<&mut PieceState> {
+        self.pieces
+            .get_mut(piece_id.stage)?
+            .get_mut(piece_id.piece as usize)
     }
 
-    pub(super) fn piece(&self, at: PieceAt) -> Option<&Piece> {
-        self.pieces.get(at.stage)?.get(at.piece as usize)
+    pub(super) fn piece_state(&self, piece_id: PieceId) -> Option<&PieceState> {
+        self.pieces
+            .get(piece_id.stage)?
+            .get(piece_id.piece as usize)
     }
 
     /// Returns the results that a stage needs, by stage and piece.
@@ -247,7 +251,7 @@
     fn results(&self, stage: usize) -> impl Iterator<Item = &ResultRef> {
         let pieces = self.pieces.get(stage).into_iter().flatten();
         pieces.filter_map(|piece| match piece {
-            Piece::Done { result, .. } => Some(result),
+            PieceState::Done { result, .. } => Some(result),
             _ => None,
         })
     }
@@ -268,134 +272,144 @@
     /// Takes out the results that are not needed any more: those whose users
     /// are all done, or everything when `all` is set.
     pub(super) fn take_unneeded(&mut self, all: bool) -> Vec<(BackendName, ResultRef)> {
-        let mut taken = Vec::new();
+        let mut removed = Vec::new();
         for stage in 0..self.pieces.len() {
-            let is_used_up = !self.is_final(stage) && self.users_done(stage);
-            if !all && !is_used_up {
+            let is_unneeded = !self.is_final(stage) && self.dependents_done(stage);
+            if !all && !is_unneeded {
                 continue;
             }
-            taken.extend(self.take_results(stage));
+            removed.extend(self.take_results(stage));
         }
-        taken
+        removed
     }
 
     /// Leaves the results that were made for another scheduler to their servers, which
     /// drop them in time.
-    pub(super) fn leave_brought(&mut self) {
+    pub(super) fn disown_inherited(&mut self) {
         let done = self.submission.done.iter();
-        let brought = done.filter_map(|done| done.kept.as_ref());
-        let brought: HashSet<&str> = brought.map(|(_, result)| result.handle.as_str()).collect();
+        let inherited = done.filter_map(|done| done.kept.as_ref());
+        let inherited: HashSet<&str> = inherited
+            .map(|(_, result)| result.handle.as_str())
+            .collect();
         for piece in self.pieces.iter_mut().flatten() {
-            let is_brought = matches!(piece, Piece::Done { result, .. }
-                if brought.contains(result.handle.as_str()));
-            if is_brought {
-                *piece = Piece::Freed;
+            let is_inherited = matches!(piece, PieceState::Done { result, .. }
+                if inherited.contains(result.handle.as_str()));
+            if is_inherited {
+                *piece = PieceState::Freed;
             }
         }
     }
 
     /// Takes the results of a stage out.
     pub(super) fn take_results(&mut self, stage: usize) -> Vec<(BackendName, ResultRef)> {
-        let mut taken = Vec::new();
+        let mut removed = Vec::new();
         for piece in &mut self.pieces[stage] {
-            if let Piece::Done { .. } = piece
-                && let Piece::Done { server, result } = std::mem::replace(piece, Piece::Freed)
+            if let PieceState::Done { .. } = piece
+                && let PieceState::Done { server, result } =
+                    std::mem::replace(piece, PieceState::Freed)
             {
-                taken.push((server, result));
+                removed.push((server, result));
             }
         }
-        taken
+        removed
     }
 
     /// Returns the stages that need the results of another one.
-    pub(super) fn users(&self, stage: usize) -> impl Iterator<Item = usize> {
+    pub(super) fn dependents(&self, stage: usize) -> impl Iterator<Item = usize> {
         let stages = self.submission.stages.iter().enumerate();
         stages
             .filter(move |(_, other)| other.after.contains(&stage))
             .map(|(index, _)| index)
     }
 
-    fn users_done(&self, stage: usize) -> bool {
-        self.users(stage).all(|user| self.is_stage_done(user))
+    fn dependents_done(&self, stage: usize) -> bool {
+        self.dependents(stage)
+            .all(|dependent| self.is_stage_done(dependent))
     }
 
     /// Tells whether results that a stage needs have been let go.
-    pub(super) fn inputs_are_freed(&self, stage: usize) -> bool {
+    pub(super) fn has_freed_inputs(&self, stage: usize) -> bool {
         let mut inputs = self.input_pieces(stage).into_iter();
-        inputs.any(|at| self.piece(at) == Some(&Piece::Freed))
+        inputs.any(|piece_id| self.piece_state(piece_id) == Some(&PieceState::Freed))
     }
 
     /// Tells whether any of its pieces is at work.
     pub(super) fn is_running(&self) -> bool {
         let mut pieces = self.pieces.iter().flatten();
-        pieces.any(|piece| matches!(piece, Piece::Running(_)))
+        pieces.any(|piece| matches!(piece, PieceState::Running(_)))
     }
 
     /// Returns the pieces that are done.
-    pub(super) fn done(&self) -> Vec<DonePiece> {
-        let mut done = Vec::new();
+    pub(super) fn done_pieces(&self) -> Vec<DonePiece> {
+        let mut done_pieces = Vec::new();
         for (stage, pieces) in self.pieces.iter().enumerate() {
             for (piece, state) in pieces.iter().enumerate() {
                 let kept = match state {
-                    Piece::Done { server, result } => Some((server.clone(), result.clone())),
-                    Piece::Freed => None,
+                    PieceState::Done { server, result } => Some((server.clone(), result.clone())),
+                    PieceState::Freed => None,
                     _ => continue,
                 };
                 let piece = piece as u32;
-                done.push(DonePiece { stage, piece, kept });
+                done_pieces.push(DonePiece { stage, piece, kept });
             }
         }
-        done
+        done_pieces
     }
 
     /// Returns the pieces that are not done, by stage.
     pub(super) fn unfinished_by_stage(&self) -> Vec<usize> {
         let stages = 0..self.pieces.len();
-        stages.map(|stage| self.unfinished(stage)).collect()
+        stages.map(|stage| self.unfinished_pieces(stage)).collect()
     }
 
     /// Makes the results that a stage needs be produced again: those whose
     /// servers are not known any more or that were let go, or else all of them. What
     /// they need in turn is produced again where it was let go, and what waits
     /// for any of it waits until all is there.
-    pub(super) fn redo_inputs(&mut self, stage: usize, is_known: impl Fn(&BackendName) -> bool) {
+    pub(super) fn regenerate_inputs(
+        &mut self,
+        stage: usize,
+        is_known: impl Fn(&BackendName) -> bool,
+    ) {
         let inputs = self.input_pieces(stage);
-        let is_lost = |at: &PieceAt| match self.piece(*at) {
-            Some(Piece::Done { server, .. }) => !is_known(server),
-            Some(Piece::Freed) => true,
+        let is_lost = |piece_id: &PieceId| match self.piece_state(*piece_id) {
+            Some(PieceState::Done { server, .. }) => !is_known(server),
+            Some(PieceState::Freed) => true,
             _ => false,
         };
-        let lost: Vec<PieceAt> = inputs.iter().copied().filter(is_lost).collect();
+        let lost: Vec<PieceId> = inputs.iter().copied().filter(is_lost).collect();
         let mut again = if lost.is_empty() { inputs } else { lost };
-        while let Some(at) = again.pop() {
-            let Some(piece) = self.piece_mut(at) else {
+        while let Some(piece_id) = again.pop() {
+            let Some(piece) = self.piece_state_mut(piece_id) else {
                 continue;
             };
-            if !matches!(piece, Piece::Done { .. } | Piece::Freed) {
+            if !matches!(piece, PieceState::Done { .. } | PieceState::Freed) {
                 continue;
             }
-            *piece = Piece::Blocked;
-            let needed = self.input_pieces(at.stage).into_iter();
-            again.extend(needed.filter(|needed| self.piece(*needed) == Some(&Piece::Freed)));
+            *piece = PieceState::Blocked;
+            let needed = self.input_pieces(piece_id.stage).into_iter();
+            again.extend(
+                needed.filter(|needed| self.piece_state(*needed) == Some(&PieceState::Freed)),
+            );
         }
         for stage in 0..self.pieces.len() {
             if self.has_inputs(stage) {
                 continue;
             }
             for piece in &mut self.pieces[stage] {
-                if *piece == Piece::Waiting {
-                    *piece = Piece::Blocked;
+                if *piece == PieceState::Waiting {
+                    *piece = PieceState::Blocked;
                 }
             }
         }
     }
 
     /// Returns the pieces whose results a stage needs.
-    fn input_pieces(&self, stage: usize) -> Vec<PieceAt> {
+    fn input_pieces(&self, stage: usize) -> Vec<PieceId> {
         let after = &self.submission.stages[stage].after;
         let pieces = after.iter().flat_map(|stage| {
             let count = self.pieces[*stage].len() as u32;
-            (0..count).map(|piece| PieceAt {
+            (0..count).map(|piece| PieceId {
                 stage: *stage,
                 piece,
             })
--- a/crates/core/src/stages/kept.rs
+++ b/crates/core/src/stages/results.rs
@@ -4,77 +4,82 @@
 
 use super::{
     calls::RunningCall,
-    queue::Waiting,
+    queue::WaitingPiece,
     scheduler::StageScheduler,
-    work::{Refusal, RequestKey, ResultRef, StageAction, Submission},
+    types::{Refusal, RequestKey, ResultRef, StageAction, Submission},
 };
 use crate::ids::{BackendName, PoolName};
 
 /// One result that a server keeps.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Kept {
+pub(super) struct StoredResult {
     pub(super) server: BackendName,
     /// The request that it was made for.
     pub(super) key: RequestKey,
     pub(super) bytes: u64,
     /// Time at which the server drops it by itself, in ms.
-    pub(super) dropped_at_ms: u64,
+    pub(super) expires_at_ms: u64,
 }
 
 /// All results that are kept, by their names.
 #[derive(Debug, Default)]
-pub(super) struct KeptResults {
-    kept: HashMap<String, Kept>,
+pub(super) struct ResultTable {
+    by_handle: HashMap<String, StoredResult>,
     /// Names in the order in which they were made.
-    oldest: VecDeque<String>,
+    by_age: VecDeque<String>,
 }
 
-impl KeptResults {
-    pub(super) fn insert(&mut self, handle: &str, kept: Kept) {
-        self.kept.insert(handle.to_owned(), kept);
-        self.oldest.push_back(handle.to_owned());
+impl ResultTable {
+    pub(super) fn insert(&mut self, handle: &str, result: StoredResult) {
+        self.by_handle.insert(handle.to_owned(), result);
+        self.by_age.push_back(handle.to_owned());
     }
 
     /// Forgets a result, and returns the memory that it took.
     pub(super) fn remove(&mut self, handle: &str) -> u64 {
-        self.kept.remove(handle).map_or(0, |kept| kept.bytes)
+        self.by_handle
+            .remove(handle)
+            .map_or(0, |result| result.bytes)
     }
 
     /// Returns when a server drops a result next, in ms.
-    pub(super) fn next_drop_ms(&self) -> Option<u64> {
-        let mut kept = self
-            .oldest
+    pub(super) fn next_expiry_ms(&self) -> Option<u64> {
+        let mut result = self
+            .by_age
             .iter()
-            .filter_map(|handle| self.kept.get(handle));
-        kept.next().map(|kept| kept.dropped_at_ms)
+            .filter_map(|handle| self.by_handle.get(handle));
+        result.next().map(|result| result.expires_at_ms)
     }
 
     /// Takes out the results that their servers have dropped by now.
-    pub(super) fn take_dropped(&mut self, now_ms: u64) -> Vec<Kept> {
-        let mut dropped = Vec::new();
-        while let Some(handle) = self.oldest.front() {
-            match self.kept.get(handle) {
-                Some(kept) if kept.dropped_at_ms > now_ms => break,
-                Some(_) => dropped.extend(self.kept.remove(handle)),
+    pub(super) fn take_expired(&mut self, now_ms: u64) -> Vec<StoredResult> {
+        let mut expired = Vec::new();
+        while let Some(handle) = self.by_age.front() {
+            match self.by_handle.get(handle) {
+                Some(result) if result.expires_at_ms > now_ms => break,
+                Some(_) => expired.extend(self.by_handle.remove(handle)),
                 None => {}
             }
-            self.oldest.pop_front();
+            self.by_age.pop_front();
         }
-        dropped
+        expired
     }
 }
 
 impl StageScheduler {
     /// Notes that a server has freed results, or drops them by itself soon.
     pub fn on_freed(&mut self, server: &BackendName, handles: &[String]) {
-        let bytes = handles.iter().map(|handle| self.kept.remove(handle)).sum();
-        self.give_room_back(server, bytes);
+        let bytes = handles
+            .iter()
+            .map(|handle| self.results.remove(handle))
+            .sum();
+        self.return_memory(server, bytes);
     }
 
     /// Notes the results that another scheduler has had made.
-    pub(super) fn keep_handed_over(&mut self, now_ms: u64, submission: &Submission) {
-        let kept = submission.done.iter().filter_map(|done| done.kept.as_ref());
-        for (name, result) in kept {
+    pub(super) fn record_inherited_results(&mut self, now_ms: u64, submission: &Submission) {
+        let inherited = submission.done.iter().filter_map(|done| done.kept.as_ref());
+        for (name, result) in inherited {
             let mut services = self.services.values_mut();
             let Some((server, ttl_ms)) = services.find_map(|service| {
                 let ttl_ms = service.batching.result_ttl_ms;
@@ -82,14 +87,14 @@
             }) else {
                 continue;
             };
-            server.room_used += result.bytes;
-            let kept = Kept {
+            server.used_memory_bytes += result.bytes;
+            let stored = StoredResult {
                 server: name.clone(),
                 key: submission.key.clone(),
                 bytes: result.bytes,
-                dropped_at_ms: now_ms + ttl_ms,
+                expires_at_ms: now_ms + ttl_ms,
             };
-            self.kept.insert(&result.handle, kept);
+            self.results.insert(&result.handle, stored);
         }
     }
 
@@ -97,41 +102,41 @@
     /// that still needed them would have to begin anew; it is given up. On the day
     /// with the longest queues that gains 0.019 of its worth (standard error 0.005,
     /// six days played with and without it), on others nothing.
-    pub(super) fn drop_old_results(&mut self, now_ms: u64) {
-        for dropped in self.kept.take_dropped(now_ms) {
-            self.give_room_back(&dropped.server, dropped.bytes);
-            let request = self.requests.get(&dropped.key);
+    pub(super) fn expire_results(&mut self, now_ms: u64) {
+        for expired in self.results.take_expired(now_ms) {
+            self.return_memory(&expired.server, expired.bytes);
+            let request = self.requests.get(&expired.key);
             if request.is_some_and(|request| request.has_missed_goal(now_ms)) {
-                self.refuse(now_ms, &dropped.key, Refusal::TooLate);
+                self.refuse(now_ms, &expired.key, Refusal::TooLate);
             }
         }
     }
 
-    pub(super) fn give_room_back(&mut self, server: &BackendName, bytes: u64) {
+    pub(super) fn return_memory(&mut self, server: &BackendName, bytes: u64) {
         let mut services = self.services.values_mut();
         if let Some(server) = services.find_map(|service| service.servers.get_mut(server)) {
-            server.room_used = server.room_used.saturating_sub(bytes);
+            server.used_memory_bytes = server.used_memory_bytes.saturating_sub(bytes);
         }
     }
 
-    pub(super) fn keep(
+    pub(super) fn record_result(
         &mut self,
         now_ms: u64,
         call: &RunningCall,
-        waiting: &Waiting,
+        waiting: &WaitingPiece,
         handle: &str,
     ) {
         let ttl_ms = self
             .services
             .get(&call.service)
             .map_or(0, |service| service.batching.result_ttl_ms);
-        let kept = Kept {
+        let stored = StoredResult {
             server: call.server.clone(),
             key: waiting.key.clone(),
-            bytes: waiting.bytes,
-            dropped_at_ms: now_ms + ttl_ms,
+            bytes: waiting.result_bytes,
+            expires_at_ms: now_ms + ttl_ms,
         };
-        self.kept.insert(handle, kept);
+        self.results.insert(handle, stored);
     }
 
     pub(super) fn free_results(&mut self, results: Vec<(BackendName, ResultRef)>) {
@@ -150,7 +155,7 @@
                 // Its results are gone with it.
                 None => {
                     for handle in &handles {
-                        self.kept.remove(handle);
+                        self.results.remove(handle);
                     }
                 }
             }
--- a/crates/core/src/stages/scheduler.rs
+++ b/crates/core/src/stages/scheduler.rs
@@ -3,16 +3,16 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 
 use super::{
-    admission::{self, Refusals},
+    admission::{self, RefusalHistory},
     batch,
     calls::RunningCall,
     contention::Contention,
-    fetched::Fetching,
-    kept::KeptResults,
+    early_release::PendingFetch,
     request::Request,
+    results::ResultTable,
     server::Server,
-    service::{StageService, Taken, WAIT_STEP_MS},
-    work::{CallId, Refusal, RequestKey, StageAction, Submission},
+    service::{AdmissionClass, DISPATCH_RETRY_MS, StageService},
+    types::{CallId, Refusal, RequestKey, StageAction, Submission},
 };
 use crate::{
     forwarding::{MIN_LIMIT_PER_S, RoutingConfig, ServerEntry, ServerState},
@@ -75,9 +75,9 @@
     pub(super) services: BTreeMap<PoolName, StageService>,
     pub(super) requests: HashMap<RequestKey, Request>,
     pub(super) calls: HashMap<CallId, RunningCall>,
-    pub(super) kept: KeptResults,
+    pub(super) results: ResultTable,
     /// Results that are being fetched, in the order of their time.
-    pub(super) fetching: VecDeque<Fetching>,
+    pub(super) pending_fetches: VecDeque<PendingFetch>,
     pub(super) last_call: u64,
     /// Number of the last request.
     last_request: u64,
@@ -88,7 +88,7 @@
     pub(super) contention: Contention,
     /// Whether requests are left that are to be handed over.
     pub(super) is_handing_over: bool,
-    pub(super) refusals: Refusals,
+    pub(super) refusals: RefusalHistory,
     /// The scheduler that goes on with what is handed over.
     pub(super) successor: Option<InstanceName>,
     /// Requests that came as suspects or became so here, also some that have ended.
@@ -128,7 +128,7 @@
                 .servers
                 .entry(entry.id.clone())
                 .or_insert_with(|| Server::new(entry.zone.clone(), entry.addr));
-            server.is_closed =
+            server.is_excluded =
                 entry.state == ServerState::Leaving || evacuated.contains(&entry.zone);
             known
                 .entry(entry.service.clone())
@@ -162,7 +162,7 @@
         // What another scheduler has begun is finished.
         let is_begun = !submission.done.is_empty();
         let admitted = admission::admit(now_ms, &submission, &self.services, &self.refusals);
-        let Some(taken) = admitted.or(is_begun.then_some(Taken::InTime)) else {
+        let Some(admission_class) = admitted.or(is_begun.then_some(AdmissionClass::InTime)) else {
             let outcome = self.refusal(now_ms, &submission, Refusal::TooBusy);
             let key = submission.key;
             self.actions.push(StageAction::Finish { key, outcome });
@@ -170,16 +170,22 @@
         };
         let key = submission.key.clone();
         let rest_ms = self.rest_ms(&submission);
-        self.keep_handed_over(now_ms, &submission);
+        self.record_inherited_results(now_ms, &submission);
         self.last_request += 1;
-        let request = Request::new(now_ms, self.last_request, submission, rest_ms, taken);
+        let request = Request::new(
+            now_ms,
+            self.last_request,
+            submission,
+            rest_ms,
+            admission_class,
+        );
         let drop_at_ms = request.drop_at_ms();
         let earliest_ms = self.earliest_drop_ms.unwrap_or(drop_at_ms);
         self.earliest_drop_ms = Some(earliest_ms.min(drop_at_ms));
         for (stage, unfinished) in request.unfinished_by_stage().into_iter().enumerate() {
             let name = &request.submission.stages[stage].service;
             if let Some(service) = self.services.get_mut(name) {
-                service.committed.add(taken, unfinished);
+                service.committed.add(admission_class, unfinished);
             }
         }
         self.requests.insert(key.clone(), request);
@@ -190,7 +196,7 @@
     /// it brought with it may be in use there, and is left to expire.
     pub fn cancel(&mut self, key: &RequestKey) {
         if let Some(request) = self.requests.get_mut(key) {
-            request.leave_brought();
+            request.disown_inherited();
         }
         self.remove(key);
     }
@@ -203,31 +209,31 @@
     /// Sends what can be sent, and returns what has to be done.
     pub fn poll(&mut self, now_ms: u64) -> Vec<StageAction> {
         self.drop_expired(now_ms);
-        self.drop_old_results(now_ms);
-        self.move_idle();
+        self.expire_results(now_ms);
+        self.hand_over_idle();
         self.repeat_overdue(now_ms);
-        self.free_fetched(now_ms);
+        self.release_fetched_inputs(now_ms);
         let names: Vec<PoolName> = self.services.keys().cloned().collect();
         for name in names {
             let Some(service) = self.services.get(&name) else {
                 continue;
             };
-            if !service.can_begin(now_ms) {
+            if !service.can_dispatch(now_ms) {
                 continue;
             }
-            for key in batch::late(now_ms, service, &self.requests) {
-                self.give_up_goal(&key);
+            for key in batch::requests_missing_goal(now_ms, service, &self.requests) {
+                self.mark_late(&key);
             }
             let isolation = self.isolation();
             let Some(service) = self.services.get_mut(&name) else {
                 continue;
             };
-            let batches = batch::fill(now_ms, service, &mut self.requests, isolation);
+            let batches = batch::assign_batches(now_ms, service, &mut self.requests, isolation);
             for batch in batches {
                 self.start_call(now_ms, &name, batch);
             }
             if let Some(service) = self.services.get_mut(&name) {
-                service.note_stuck(now_ms);
+                service.record_dispatch(now_ms);
             }
         }
         std::mem::take(&mut self.actions)
@@ -239,7 +245,7 @@
             .services
             .values()
             .filter(|service| !service.queue.is_empty() && service.idle_servers(now_ms) > 0)
-            .map(|_| now_ms + WAIT_STEP_MS);
+            .map(|_| now_ms + DISPATCH_RETRY_MS);
         let paused = self
             .services
             .values()
@@ -251,10 +257,10 @@
             .values()
             .filter(|call| !call.is_overdue)
             .map(|call| call.overdue_at_ms());
-        let fetched = self.fetching.front().map(|next| next.done_at_ms);
+        let fetched = self.pending_fetches.front().map(|next| next.done_at_ms);
         let due = paused.chain(overdue).chain(self.earliest_drop_ms);
         let due = due.chain(waited_for).chain(fetched);
-        due.chain(self.kept.next_drop_ms()).min()
+        due.chain(self.results.next_expiry_ms()).min()
     }
 
     /// Returns what is waiting and at work: requests, pieces and calls.
--- a/crates/core/src/stages/service.rs
+++ b/crates/core/src/stages/service.rs
@@ -6,29 +6,29 @@
 use crate::{forwarding::Batching, ids::BackendName};
 
 /// How much a new measure counts for the usual time of a stage.
-const USUAL_WEIGHT: f64 = 0.1;
+const LATENCY_EWMA_WEIGHT: f64 = 0.1;
 
 /// Part of a server's memory that is left for results that are larger than is said, for
 /// one result; where there are more, what they are larger by in all grows with the root
 /// of their number only, so that the part shrinks with it. A piece without room is a call
 /// in vain.
-const SPARE_ROOM: f64 = 0.5;
+const MEMORY_RESERVE_FACTOR: f64 = 0.5;
 
 /// Time between two looks at pieces that wait for a server in their zone while
 /// others are idle, in ms.
-pub(super) const WAIT_STEP_MS: u64 = 20;
+pub(super) const DISPATCH_RETRY_MS: u64 = 20;
 
 /// Returns the memory, out of `room_bytes` at one server, that is given away to results
 /// of about `result_bytes` each.
-pub(super) fn usable_room_bytes(room_bytes: u64, result_bytes: u64) -> u64 {
-    let spare = SPARE_ROOM * (room_bytes as f64 * result_bytes as f64).sqrt();
+pub(super) fn usable_memory_bytes(room_bytes: u64, result_bytes: u64) -> u64 {
+    let spare = MEMORY_RESERVE_FACTOR * (room_bytes as f64 * result_bytes as f64).sqrt();
     let usable = room_bytes.saturating_sub(spare as u64);
     usable.max(result_bytes.min(room_bytes))
 }
 
 /// How a request was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Taken {
+pub(super) enum AdmissionClass {
     /// It was to be in time.
     InTime,
     /// Its goal was lost already; it is done with what the others leave.
@@ -43,25 +43,25 @@
 }
 
 impl Committed {
-    fn of(&mut self, taken: Taken) -> &mut usize {
-        match taken {
-            Taken::InTime => &mut self.in_time,
-            Taken::Late => &mut self.late,
+    fn count_mut(&mut self, admission_class: AdmissionClass) -> &mut usize {
+        match admission_class {
+            AdmissionClass::InTime => &mut self.in_time,
+            AdmissionClass::Late => &mut self.late,
         }
     }
 
-    pub(super) fn add(&mut self, taken: Taken, pieces: usize) {
-        *self.of(taken) += pieces;
+    pub(super) fn add(&mut self, admission_class: AdmissionClass, pieces: usize) {
+        *self.count_mut(admission_class) += pieces;
     }
 
-    pub(super) fn remove(&mut self, taken: Taken, pieces: usize) {
-        let count = self.of(taken);
+    pub(super) fn remove(&mut self, admission_class: AdmissionClass, pieces: usize) {
+        let count = self.count_mut(admission_class);
         *count = count.saturating_sub(pieces);
     }
 
     /// Returns the pieces that go before a new one, those that were taken late
     /// by `late_weight` each.
-    pub(super) fn ahead(&self, late_weight: f64) -> f64 {
+    pub(super) fn weighted_pieces(&self, late_weight: f64) -> f64 {
         self.in_time as f64 + self.late as f64 * late_weight
     }
 }
@@ -69,10 +69,10 @@
 /// How things stood when pieces were left waiting beside idle servers: they are
 /// looked at again when anything of it changes, or after a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Stuck {
+pub(super) struct DispatchSnapshot {
     added: u64,
     idle_servers: usize,
-    room_used: u64,
+    used_memory_bytes: u64,
     /// Time of the look, in ms.
     at_ms: u64,
 }
@@ -85,14 +85,14 @@
     /// What waits for them.
     pub(super) queue: Queue,
     /// How things stood when pieces were left waiting beside idle servers.
-    pub(super) stuck: Option<Stuck>,
+    pub(super) last_dispatch: Option<DispatchSnapshot>,
     /// Pieces of taken requests that are not done, waiting for this stage or an
     /// earlier one.
     pub(super) committed: Committed,
     /// Pieces that are part of a call.
-    pub(super) running: usize,
+    pub(super) running_pieces: usize,
     /// Usual time from a piece being ready to its result, in ms.
-    pub(super) usual_ms: f64,
+    pub(super) mean_latency_ms: f64,
 }
 
 impl StageService {
@@ -101,56 +101,56 @@
             batching,
             servers: BTreeMap::new(),
             queue: Queue::default(),
-            stuck: None,
+            last_dispatch: None,
             committed: Committed::default(),
-            running: 0,
-            usual_ms: batching.duration_ms(batching.batch_pieces / 2),
+            running_pieces: 0,
+            mean_latency_ms: batching.duration_ms(batching.batch_pieces / 2),
         }
     }
 
     /// Tells whether any piece that waits may be sent now.
-    pub(super) fn can_begin(&self, now_ms: u64) -> bool {
+    pub(super) fn can_dispatch(&self, now_ms: u64) -> bool {
         if self.queue.is_empty() || self.idle_servers(now_ms) == 0 {
             return false;
         }
-        self.stuck.is_none_or(|stuck| {
-            let now = self.standing(now_ms);
-            let is_same = Stuck {
-                at_ms: stuck.at_ms,
+        self.last_dispatch.is_none_or(|last_dispatch| {
+            let now = self.dispatch_snapshot(now_ms);
+            let is_same = DispatchSnapshot {
+                at_ms: last_dispatch.at_ms,
                 ..now
-            } == stuck;
-            !is_same || now_ms >= stuck.at_ms + WAIT_STEP_MS
+            } == last_dispatch;
+            !is_same || now_ms >= last_dispatch.at_ms + DISPATCH_RETRY_MS
         })
     }
 
     /// Notes how things stand after what could be sent was sent.
-    pub(super) fn note_stuck(&mut self, now_ms: u64) {
-        self.stuck = Some(self.standing(now_ms));
+    pub(super) fn record_dispatch(&mut self, now_ms: u64) {
+        self.last_dispatch = Some(self.dispatch_snapshot(now_ms));
     }
 
-    fn standing(&self, now_ms: u64) -> Stuck {
+    fn dispatch_snapshot(&self, now_ms: u64) -> DispatchSnapshot {
         let servers = self.servers.values();
-        Stuck {
-            added: self.queue.added(),
+        DispatchSnapshot {
+            added: self.queue.total_added(),
             idle_servers: self.idle_servers(now_ms),
-            room_used: servers.map(|server| server.room_used).sum(),
+            used_memory_bytes: servers.map(|server| server.used_memory_bytes).sum(),
             at_ms: now_ms,
         }
     }
 
     pub(super) fn on_piece_done(&mut self, elapsed_ms: f64) {
-        self.usual_ms += USUAL_WEIGHT * (elapsed_ms - self.usual_ms);
+        self.mean_latency_ms += LATENCY_EWMA_WEIGHT * (elapsed_ms - self.mean_latency_ms);
     }
 
     /// Uses slow servers where there are no others: then the service is slow, and
     /// not a server of it.
-    pub(super) fn use_slow_rather_than_none(&mut self, now_ms: u64) {
-        if self.open_servers(now_ms) > 0 {
+    pub(super) fn use_slow_if_no_other(&mut self, now_ms: u64) {
+        if self.available_servers(now_ms) > 0 {
             return;
         }
         let servers = self.servers.values_mut();
-        for server in servers.filter(|server| server.is_only_slow(now_ms)) {
-            server.use_slow();
+        for server in servers.filter(|server| server.is_paused_only_as_slow(now_ms)) {
+            server.clear_slow_pause();
         }
     }
 
@@ -161,7 +161,7 @@
         let open = self
             .servers
             .values()
-            .filter(|server| server.is_open(now_ms));
+            .filter(|server| server.is_available(now_ms));
         let calls_per_ms: f64 = open.map(|server| server.calls_per_ms(call_ms)).sum();
         full as f64 * calls_per_ms
     }
@@ -195,7 +195,7 @@
     /// Returns the time until a server takes work, in ms: 0 if one does now, none if all are
     /// unavailable for another reason than backoff.
     pub(super) fn available_in_ms(&self, now_ms: u64) -> Option<u64> {
-        if self.open_servers(now_ms) > 0 {
+        if self.available_servers(now_ms) > 0 {
             return Some(0);
         }
         self.backing_off(now_ms).map(|(left_ms, _)| left_ms).min()
@@ -210,7 +210,7 @@
 
     /// Returns the pieces that idle rate-limited servers take now, however low their limits;
     /// keeps them probed.
-    pub(super) fn taken_at_once(&self, now_ms: u64) -> usize {
+    pub(super) fn immediate_pieces(&self, now_ms: u64) -> usize {
         let servers = self.servers.values();
         let limited = servers.filter(|server| server.limit_per_s.is_some());
         let ready = limited.filter(|server| server.is_idle(now_ms)).count();
@@ -218,9 +218,9 @@
     }
 
     /// Returns the servers that take work.
-    pub(super) fn open_servers(&self, now_ms: u64) -> usize {
+    pub(super) fn available_servers(&self, now_ms: u64) -> usize {
         let servers = self.servers.values();
-        servers.filter(|server| server.is_open(now_ms)).count()
+        servers.filter(|server| server.is_available(now_ms)).count()
     }
 
     /// Returns the servers that could begin a call at once.
