--- a/crates/core/src/stages.rs
+++ b/crates/core/src/stages.rs
@@ -1,9 +1,9 @@
-//! Work that comes before a forwarded request: pieces of stages, which backend
-//! servers take in batches.
+//! Schedules the stages that run before a request is forwarded. Each stage is split
+//! into pieces, which backend servers process in batches.
 //!
-//! One instance schedules the pieces of all instances that reach it, so that
-//! pieces of different requests share calls. Pieces may be produced again:
-//! when it is gone, the next one starts over with what is not finished.
+//! One elected instance schedules the pieces of all instances that can reach it, so
+//! that pieces of different requests share calls. Pieces may run more than once: when
+//! the scheduler is lost, its successor restarts the unfinished ones.
 
 mod admission;
 mod batch;
--- a/crates/core/src/stages/admission.rs
+++ b/crates/core/src/stages/admission.rs
@@ -1,9 +1,9 @@
-//! Decides whether the stages of a request are begun.
+//! Decides whether to admit the stages of a request.
 //!
-//! The load that it answers: for some seconds requests of a kind come two to
-//! three times as often as full batches can carry. Whoever is taken beyond that
-//! makes all others late, so what would be late is refused before it costs
-//! anything, the less urgent first.
+//! In bursts of some seconds, requests of one kind arrive two to three times as fast as
+//! full batches can process them. Admitting more than that makes all requests late.
+//! Requests that would be late are therefore refused before they cost anything, the
+//! less urgent ones first.
 
 use std::collections::BTreeMap;
 
@@ -15,55 +15,56 @@
 };
 use crate::{forwarding::return_after_ms, ids::PoolName};
 
-/// Part of its slack that a request may be expected to wait, in per cent, by its
-/// rank; the slack is what its goal leaves beside the time that its stages need
-/// without any queue. The estimate is short by some batches in a burst, and the
-/// less urgent are refused while there is room for the more urgent, whose bursts
-/// come without notice. Five bursts of `crates/core/tests/stages_bursts.rs`, each
-/// with four seeds, gave 0.930 of the worth with 90, 90, 80 per cent of the whole
-/// goal, and 0.937 with these. With 50 per cent of the goal for the least urgent
-/// nine in ten of them were refused.
+/// Share of its slack, in percent, that a request may be forecast to wait, by rank. The
+/// slack is its goal minus the time that its stages need without queueing. The shares
+/// are below 100 because the forecast is too short by some batches in a burst, and
+/// because the less urgent requests are refused while there is capacity left for bursts
+/// of the more urgent ones, which come without notice. The simulated bursts of
+/// `crates/core/tests/stages_bursts.rs`, five of them with four seeds each, reached
+/// 0.937 of the total request value with these shares, and 0.930 with 90, 90 and 80
+/// percent of the whole goal. With 50 percent of the goal for the lowest rank, nine in
+/// ten of its requests were refused.
 const USABLE_SLACK_PERCENT: [u64; 3] = [75, 75, 35];
-/// Shortest time after which a refused caller is asked to come back, in ms: one
-/// call of a stage, after which its queue has changed.
+/// Minimum retry time of a refused caller, in ms: one call of a stage, after which its
+/// queue has changed.
 const MIN_RETRY_AFTER_MS: u64 = 250;
 
-/// Longest such time, in ms: the longest bursts of the users' days; callers wait
-/// at most a third of what they have left, which is 6 to 20 s.
+/// Maximum retry time, in ms: the longest burst of the recorded days. Callers wait at
+/// most a third of their remaining time, which is 6 to 20 s.
 const MAX_RETRY_AFTER_MS: u64 = 6_000;
-/// Time that a burst usually lasts, in ms: on the users' days 3.5 to 6 s.
+/// Typical length of a burst, in ms: 3.5 to 6 s on the recorded days.
 const TYPICAL_BURST_MS: u64 = 4_000;
-/// Time of refusals from which they count as a burst, in ms: less may be chance.
+/// Time span of refusals from which they count as a burst, in ms; shorter ones may be
+/// chance.
 const MIN_BURST_MS: u64 = 250;
-/// Time without a refusal after which one counts as over, in ms.
+/// Time without refusals after which a burst counts as over, in ms.
 const BURST_GAP_MS: u64 = 4_000;
-/// Time by which the deadline of a caller who comes back is shorter than usual
-/// at least, in ms: the shortest that one is asked to wait.
+/// Minimum difference to the usual deadline at which a request counts as a retry, in
+/// ms: the shortest retry time that callers get.
 const MIN_MISSING_MS: u64 = 150;
-/// What a piece that was taken late counts beside one that goes before a new one:
-/// it fills what is left of a call, which takes longer by its own time alone.
+/// Weight of a piece that was admitted late, against 1 for one that was admitted in
+/// time: it fills up a call, which then takes longer only by the time of this piece.
 const LATE_WEIGHT: f64 = 0.25;
-/// The same for one who comes back and whose goal is lost, by the goal of a new
-/// request. With all the time to its deadline, late work went on for ten seconds
-/// after a burst, and on a calm day of 75 instances 40 in 100 were late instead
-/// of 15.
+/// The same share for a retry that has missed its original goal, relative to the goal
+/// of a new request. When the whole time to the deadline could be used, late work
+/// continued for ten seconds after a burst, and on a day without bursts 40 in 100
+/// requests of 75 instances were late instead of 15.
 const LATE_USABLE_SLACK_PERCENT: u64 = 35;
 
-/// How long the stages of a request are expected to take.
+/// The forecast duration of the stages of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Forecast {
-    /// Time to the end of the last stage, in ms.
+    /// Time until the end of the last stage, in ms.
     pub(super) stages_ms: u64,
-    /// The same without any queue.
+    /// The same without queueing, in ms.
     unqueued_ms: u64,
-    /// Time until each service has a server that takes work, in ms.
+    /// Time until each service has an available server, in ms.
     pub(super) available_in_ms: u64,
-    /// Whether a service has no server that takes work or will after its backoff.
+    /// Whether a service has no server that is available or will be after its backoff.
     pub(super) is_unservable: bool,
 }
 
-/// Estimates when the stages of `submission` would be done, after all that was
-/// taken before it.
+/// Forecasts the stages of `submission`, behind all pieces admitted before.
 pub(super) fn forecast_all(
     now_ms: u64,
     submission: &Submission,
@@ -72,8 +73,8 @@
     forecast(now_ms, submission, services, 1.0)
 }
 
-/// Estimates when the stages of `submission` would be done, where pieces that
-/// were taken late count by `late_weight`.
+/// Forecasts the stages of `submission`, with pieces that were admitted late weighted
+/// by `late_weight`.
 fn forecast(
     now_ms: u64,
     submission: &Submission,
@@ -99,7 +100,7 @@
             continue;
         };
         let pieces = stage.pieces as usize;
-        // While none of what is taken has come this far, the servers stand idle
+        // If none of the admitted pieces has reached this stage, its servers are idle
         // until the first does.
         let is_begun = service.running_pieces > 0 || !service.queue.is_empty();
         let idle_ms = if is_begun { 0.0 } else { ready_ms };
@@ -138,8 +139,8 @@
     ends.fold(0.0, |latest: f64, end| latest.max(*end))
 }
 
-/// Tells whether what a request has to wait by its forecast is at most
-/// `percent` of the slack that `goal_ms` leaves.
+/// Returns whether the forecast queueing time of a request is at most `percent` of the
+/// slack that `goal_ms` leaves.
 fn fits_slack(submission: &Submission, forecast: Forecast, goal_ms: u64, percent: u64) -> bool {
     let unqueued_ms = forecast.unqueued_ms + submission.rest_ms;
     let needed_ms = forecast.stages_ms + submission.rest_ms;
@@ -147,8 +148,8 @@
     needed_ms <= goal_ms && needed_ms.saturating_sub(unqueued_ms) <= slack_ms * percent / 100
 }
 
-/// Estimates how long a piece waits for a server to come free: none where one
-/// is idle now, else the mean gap between two that end.
+/// Estimates how long a piece waits for a server: 0 if one is idle now, otherwise the
+/// mean time between the ends of two calls.
 fn server_wait_ms(now_ms: u64, service: &StageService, ready_ms: f64) -> f64 {
     let is_free_now = service.idle_servers(now_ms) > 0 && service.queue.is_empty();
     if is_free_now && ready_ms == 0.0 {
@@ -159,7 +160,7 @@
     service.batching.duration_ms(half) / (open + 1) as f64
 }
 
-/// What has been refused lately.
+/// Tracks the current run of refusals.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RefusalHistory {
     started_ms: u64,
@@ -167,7 +168,7 @@
 }
 
 impl RefusalHistory {
-    /// Notes a refusal.
+    /// Records a refusal.
     fn record(&mut self, now_ms: u64) {
         if !self.are_recent(now_ms) {
             self.started_ms = now_ms;
@@ -180,8 +181,8 @@
             .is_some_and(|last_ms| now_ms.saturating_sub(last_ms) <= BURST_GAP_MS)
     }
 
-    /// Estimates how long refusals will go on, in ms: until a burst has lasted as
-    /// long as it usually does, and for half as long again after that.
+    /// Estimates how long refusals will continue, in ms: until the burst reaches the
+    /// typical length, and beyond that for half as long again.
     fn remaining_ms(&self, now_ms: u64) -> u64 {
         let lasted_ms = now_ms.saturating_sub(self.started_ms);
         if lasted_ms < MIN_BURST_MS {
@@ -192,9 +193,8 @@
     }
 }
 
-/// Decides whether the stages of a request are begun, and how. One who comes
-/// back after a refusal has lost its goal and is taken where its deadline leaves
-/// enough room.
+/// Decides whether to admit a request, and in which class. A retry after a refusal has
+/// missed its goal and is admitted if its deadline leaves enough time.
 pub(super) fn admit(
     now_ms: u64,
     submission: &Submission,
@@ -222,9 +222,9 @@
     (is_returning && has_room).then_some(AdmissionClass::Late)
 }
 
-/// Estimates when a request that is refused now would be taken: when the queue
-/// has gone down and the burst is over. It differs from request to request, so
-/// that the callers do not come back together.
+/// Estimates when a request that is refused now would be admitted, in ms: once the
+/// queue is shorter and the burst over. The result varies with the request identifier,
+/// so that callers do not return at the same time.
 pub(super) fn retry_after_ms(
     now_ms: u64,
     submission: &Submission,
@@ -239,7 +239,7 @@
     let hash = xxh3_64(submission.request.as_str().as_bytes());
     match forecast.available_in_ms {
         0 => expected_ms - expected_ms / 4 + hash % (expected_ms / 2),
-        // No server takes a piece before the first backoff ends.
+        // No server accepts a piece before the first backoff ends.
         available_in_ms => return_after_ms(available_in_ms, MIN_RETRY_AFTER_MS, hash),
     }
 }
--- a/crates/core/src/stages/batch.rs
+++ b/crates/core/src/stages/batch.rs
@@ -1,8 +1,8 @@
-//! Chooses which waiting pieces go to which idle servers.
+//! Assigns waiting pieces to idle servers.
 //!
-//! A call costs the same time for one piece as for many, so pieces fill the
-//! calls that are opened before another server is taken. There is no timer: a
-//! batch fills while all servers are busy, and is sent at once when one is not.
+//! Most of a call's cost is fixed, so open batches are filled before another server
+//! gets one. There is no batching timer: a batch grows while all servers are busy, and
+//! is sent at once when one is idle.
 
 use std::collections::HashMap;
 
@@ -15,27 +15,27 @@
 };
 use crate::ids::{BackendName, ZoneName};
 
-/// Bytes that have to be fetched for a piece from which it matters in which
-/// availability zone it is made: at the platform's price of links, 100 KB cost
-/// as much as a hundredth of a request of the least worth.
+/// Transfer size of a piece, in bytes, from which its availability zone matters: at the
+/// platform's price for cross-zone traffic, 100 KB cost a hundredth of the value of the
+/// cheapest request.
 const LARGE_TRANSFER_BYTES: u64 = 100_000;
 
-/// Pieces for one server.
+/// The pieces assigned to one server.
 #[derive(Debug)]
 pub(super) struct Batch {
     pub(super) server: BackendName,
     pub(super) pieces: Vec<WaitingPiece>,
 }
 
-/// Returns the requests of which a piece waits that can't make its goal even if
-/// it is done in half of the usual time.
+/// Returns the requests with a waiting piece that would miss their goal even if the
+/// stage took half its mean latency.
 pub(super) fn requests_missing_goal(
     now_ms: u64,
     service: &StageService,
     requests: &HashMap<RequestKey, Request>,
 ) -> Vec<RequestKey> {
-    // No piece behind this place is late: its time is its goal without what
-    // follows, and at most its rank later.
+    // Entries behind this one are not late: their sort time is the goal minus the time
+    // of the following stages, plus at most the maximum rank delay.
     let last_ms = now_ms + service.mean_latency_ms as u64 / 2 + MAX_RANK_DELAY_MS;
     let is_late = |waiting: &&WaitingPiece| {
         requests.get(&waiting.key).is_some_and(|request| {
@@ -50,8 +50,8 @@
     late.map(|waiting| waiting.key.clone()).collect()
 }
 
-/// Distributes what waits for `service` over its idle servers, and takes it out
-/// of the queue.
+/// Assigns the pieces waiting for `service` to its idle servers and removes them from
+/// the queue.
 pub(super) fn assign_batches(
     now_ms: u64,
     service: &mut StageService,
@@ -115,35 +115,34 @@
     batches
 }
 
-/// What a piece asks of its server.
+/// What a piece requires of its server.
 struct PieceRequirements<'a> {
-    /// Availability zone where what it needs or who needs it is.
+    /// Availability zone that holds its inputs or needs its result.
     zone: Option<&'a ZoneName>,
-    /// Whether it has the time to wait for a server there.
+    /// Whether it can wait for a server in that zone and still make its goal.
     can_wait: bool,
-    /// Size of its result, in bytes.
     result_bytes: u64,
-    /// Whether servers have ended under its request.
+    /// Crash count of its request, which decides on isolation.
     crash_count: CrashCount,
 }
 
-/// A call that an idle server could get.
+/// The batch being filled for an idle server.
 struct OpenBatch {
     server: BackendName,
     zone: ZoneName,
-    /// Memory that results may take at the server, in bytes.
+    /// Memory available for results at the server, in bytes.
     memory_bytes: u64,
-    /// Memory that they take with those of this call, in bytes.
+    /// Memory used there, including the results of this batch, in bytes.
     used_memory_bytes: u64,
     pieces: Vec<WaitingPiece>,
     suspects: SuspectGroup,
 }
 
-/// A call for each idle server.
+/// One open batch per idle server.
 struct OpenBatches {
     batches: Vec<OpenBatch>,
     batch_pieces: usize,
-    /// Availability zones of the servers that take work at all.
+    /// Availability zones with at least one available server.
     zones: Vec<ZoneName>,
 }
 
@@ -173,15 +172,15 @@
         }
     }
 
-    /// Tells whether no call takes another piece.
+    /// Returns whether no batch accepts another piece.
     fn are_full(&self) -> bool {
         let mut batches = self.batches.iter();
         batches.all(|open_batch| open_batch.pieces.len() >= self.batch_pieces)
     }
 
-    /// Chooses the call of a piece: one that is being filled in the wanted zone,
-    /// that of an idle server there, then the same anywhere, unless the piece can
-    /// wait for one in the wanted zone.
+    /// Chooses the batch for a piece: first one in the required zone, then one in any
+    /// zone, unless the piece can wait for a server in the required zone. Started
+    /// batches come before empty ones.
     fn choose(&self, requirements: &PieceRequirements<'_>, isolation: &Isolation) -> Option<usize> {
         let in_zone = requirements
             .zone
@@ -216,7 +215,7 @@
                 && zone.is_none_or(|zone| *zone == open_batch.zone)
         };
         let fitting = self.batches.iter().enumerate().filter(fits);
-        // Those that are being filled first, then the one with the most room.
+        // Started batches first, then the server with the least used memory.
         fitting
             .min_by_key(|(_, open_batch)| match open_batch.pieces.is_empty() {
                 true => (true, open_batch.used_memory_bytes),
--- a/crates/core/src/stages/calls.rs
+++ b/crates/core/src/stages/calls.rs
@@ -1,4 +1,4 @@
-//! Calls with pieces: their beginning, their end, and what is sent again.
+//! Starts and ends calls to servers, and repeats the pieces that failed or are overdue.
 
 use super::{
     batch::Batch,
@@ -14,17 +14,18 @@
     poison::{CRASHES_TO_QUARANTINE, RequestDigest},
 };
 
-/// Times that pieces of one request are sent again before it is given up.
+/// Number of times that pieces of one request are repeated before it is refused.
 pub(super) const MAX_REPEATS: u32 = 24;
-/// Time of a call, as a multiple of what is usual, after which its pieces are
-/// sent elsewhere: servers that turned slow take five times as long.
+/// Multiple of the expected duration after which the pieces of a call are sent
+/// elsewhere as well. Degraded servers take five times as long.
 const OVERDUE_FACTOR: f64 = 2.0;
-/// Time on top of that for the way and a call that is at work, in ms.
+/// Time added to that for network latency and for a call that is already running, in
+/// ms.
 const OVERDUE_MARGIN_MS: f64 = 150.0;
-/// Time by which a look at an overdue call may be late, in ms: turns of a busy
-/// process are shorter.
+/// Delay in checking an overdue call above which this process must have stalled, in ms.
+/// Scheduling delays of a busy process are shorter.
 const STALL_THRESHOLD_MS: u64 = 100;
-/// Time of a call after which its connection is given up, in ms.
+/// Time after which the connection of a call is closed, in ms.
 const CALL_TIMEOUT_MS: u64 = 3_000;
 
 /// A call that has not ended.
@@ -35,12 +36,12 @@
     pub(super) pieces: Vec<WaitingPiece>,
     pub(super) started_at_ms: u64,
     pub(super) expected_ms: f64,
-    /// Whether its pieces are sent elsewhere too.
+    /// Whether its pieces were queued for other servers too.
     pub(super) is_overdue: bool,
 }
 
 impl StageScheduler {
-    /// Notes the end of a call.
+    /// Handles the end of a call.
     pub fn on_call_ended(&mut self, now_ms: u64, id: CallId, end: &CallOutcome) {
         let Some(call) = self.calls.remove(&id) else {
             return;
@@ -62,7 +63,7 @@
                 server.on_accepted();
             }
             match end {
-                // Beside other schedulers it says nothing of the server.
+                // Under contention the duration does not reflect the server's speed.
                 CallOutcome::Answered(_) if !is_sole_scheduler => {}
                 CallOutcome::Answered(_) => {
                     server.record_latency(now_ms, elapsed_ms, call.expected_ms)
@@ -109,8 +110,9 @@
         }
     }
 
-    /// Notes how many servers have ended under requests: their pieces go apart from now
-    /// on, and those under which too many have are refused.
+    /// Records how many servers have crashed under each request. Pieces of these
+    /// requests are isolated from now on, and requests at the quarantine threshold are
+    /// refused.
     fn on_ends(&mut self, now_ms: u64, ends: &[(RequestDigest, u32)]) {
         let mut refused: Vec<RequestKey> = Vec::new();
         for (key, request) in &mut self.requests {
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Returns which suspects have pieces at work; nearly always there is none.
+    /// Returns which suspects have running pieces. There are hardly ever any.
     pub(super) fn isolation(&mut self) -> Isolation {
         let requests = &self.requests;
         self.suspects.retain(|key| requests.contains_key(key));
@@ -139,7 +141,7 @@
         Isolation::new(self.calls.values(), requests)
     }
 
-    /// Notes that a connection to a server could be made.
+    /// Handles a successful connection to a server that was probed.
     pub fn on_reachable(&mut self, server: &BackendName) {
         let mut services = self.services.values_mut();
         if let Some(server) = services.find_map(|service| service.servers.get_mut(server)) {
@@ -214,7 +216,7 @@
             return;
         };
         let Some(zone) = self.server_mut(call).map(|server| server.zone.clone()) else {
-            // Its server has left the register, and the result goes with it.
+            // The server is no longer registered, so its result is lost.
             return self.requeue_piece(now_ms, id, waiting, true);
         };
         self.record_result(now_ms, call, waiting, handle);
@@ -223,11 +225,11 @@
             matches!(piece, Some(PieceState::Running(_) | PieceState::Waiting))
         });
         let Some(request) = wanted else {
-            // Its request is gone or has this result from elsewhere.
+            // The request has ended, or has this result from another server.
             self.free(&call.service, &call.server, vec![handle.clone()]);
             return;
         };
-        // The next stage may go with others again; an end there says so anew.
+        // The next stage may share batches again; a crash in it sets the count anew.
         request.submission.ends = 0;
         let admission_class = request.admission_class;
         let queue_key = request.queue_key(waiting.piece_id);
@@ -245,14 +247,14 @@
         if let Some(service) = self.services.get_mut(&call.service) {
             service.committed.remove(admission_class, 1);
             service.on_piece_done(now_ms.saturating_sub(waiting.ready_at_ms) as f64);
-            // It waits if its call was overdue.
+            // The piece is still queued if its call was overdue.
             service.queue.take(&queue_key);
         }
         self.advance(now_ms, &waiting.key);
     }
 
-    /// Makes a piece wait for a server again; `may_have_run` tells whether a
-    /// server may have produced it, so that this is a repeat.
+    /// Queues a piece again. `may_have_run` is true if a server may have processed it,
+    /// so that this counts as a repeat.
     pub(super) fn requeue_piece(
         &mut self,
         now_ms: u64,
@@ -269,7 +271,7 @@
         if request.has_freed_inputs(waiting.piece_id.stage) {
             return self.regenerate_inputs(now_ms, id, waiting);
         }
-        // Its inputs may have been lost while it was on its way.
+        // Its inputs may have been lost while the call was running.
         let has_inputs = request.has_inputs(waiting.piece_id.stage);
         if let Some(piece) = request.piece_state_mut(waiting.piece_id) {
             *piece = if has_inputs {
@@ -291,7 +293,7 @@
         }
     }
 
-    /// Sends the pieces of calls elsewhere that take much longer than usual.
+    /// Queues the pieces of overdue calls for other servers.
     pub(super) fn repeat_overdue(&mut self, now_ms: u64) {
         let overdue: Vec<CallId> = self
             .calls
@@ -343,8 +345,8 @@
         self.started_at_ms + (self.expected_ms * OVERDUE_FACTOR + OVERDUE_MARGIN_MS) as u64
     }
 
-    /// Tells whether it should have been noticed as overdue some time ago: then
-    /// this process stood still, and not the server.
+    /// Returns whether the call became overdue unnoticed, which means that this process
+    /// stalled rather than the server.
     fn was_checked_late(&self, now_ms: u64) -> bool {
         !self.is_overdue && now_ms > self.overdue_at_ms() + STALL_THRESHOLD_MS
     }
--- a/crates/core/src/stages/contention.rs
+++ b/crates/core/src/stages/contention.rs
@@ -1,19 +1,20 @@
-//! Tells whether what calls take is the servers' own doing: not while other
-//! schedulers may call them too, or after this process stood still.
+//! Detects whether the duration of calls reflects the speed of the servers. It does not
+//! while other schedulers may call them too, or after this process has stalled.
 //!
-//! The load that it answers: all instances come back at once after a loss of
-//! power, or the scheduler is replaced. For a second or two several schedule, and
-//! a call takes twice its time behind those of the others. Servers that were
-//! taken for slow then got nothing for 3 s more.
+//! After a power loss all instances restart at once, and after a failover the old
+//! scheduler's calls still run. For a second or two several instances schedule, and
+//! each call takes twice as long behind those of the others. Servers that were then
+//! classified as slow got no calls for another 3 s.
 
-/// Time for which a scheduler that has begun, or met a full server, is not sure
-/// to be the only one, in ms: the next one is found within 1 s, and a call that
-/// the last one began then is over after one more.
+/// Time after its start, or after a server was full, for which a scheduler assumes that
+/// others exist, in ms: an instance that restarts finds the elected scheduler within 1
+/// s, and the last call that the other one starts until then takes at most another
+/// second.
 const CONTENTION_MS: u64 = 2_000;
-/// Time without a request after which a scheduler begins anew, in ms.
+/// Time without a submission after which a scheduler counts as newly started, in ms.
 const IDLE_RESET_MS: u64 = 1_000;
 
-/// When other schedulers may have called last.
+/// Tracks when other schedulers may have been active.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Contention {
     last_submission_ms: Option<u64>,
@@ -21,7 +22,7 @@
 }
 
 impl Contention {
-    /// Notes a request that was submitted.
+    /// Records a submitted request.
     pub(super) fn on_submission(&mut self, now_ms: u64) {
         let last_ms = self.last_submission_ms.replace(now_ms);
         if last_ms.is_none_or(|last_ms| now_ms > last_ms + IDLE_RESET_MS) {
@@ -29,15 +30,14 @@
         }
     }
 
-    /// Notes a sign that others schedule, or have: a server that took no call
-    /// although this scheduler has no other one there, or a time in which this
-    /// process stood still, so that the calls that it had say nothing of their
-    /// servers.
+    /// Records a sign of contention: a server that rejected a call as full although
+    /// this scheduler has no other call there, or a stall of this process, after which
+    /// the durations of its running calls are meaningless.
     pub(super) fn on_contention_sign(&mut self, now_ms: u64) {
         self.contended_until_ms = now_ms + CONTENTION_MS;
     }
 
-    /// Tells whether what calls take is the servers' own doing.
+    /// Returns whether the duration of calls reflects the speed of the servers.
     pub(super) fn is_sole_scheduler(&self, now_ms: u64) -> bool {
         now_ms >= self.contended_until_ms
     }
--- a/crates/core/src/stages/early_release.rs
+++ b/crates/core/src/stages/early_release.rs
@@ -1,12 +1,12 @@
-//! Lets the results of a stage go as soon as those that need them have fetched
-//! them, while they are still at work.
+//! Frees the results of a stage as soon as its dependents have fetched them, while
+//! those are still running.
 //!
-//! The load that it answers: bursts in which the memory for results bounds what
-//! servers make. A result of a middle stage was held for its own call, the next
-//! one and the wait between them; with a call of 370 ms a server had room for 32
-//! results where 48 a second were wanted, and calls of 18 pieces went with 10.
-//! Letting go early gains 0.015 of the worth of a day (standard error 0.004, 36
-//! days played with and without it).
+//! In bursts, the memory for results limits the throughput of servers. Without early
+//! release, a result of a middle stage was held for its own call, the next call and the
+//! wait between them: at 370 ms a call, a server had memory for 32 results where 48 a
+//! second were needed, and calls that could hold 18 pieces carried 10. Early release
+//! gains 0.015 of the total value of a day's requests (standard error 0.004, 36
+//! simulated days with and without it).
 
 use super::{
     request::PieceState,
@@ -14,16 +14,15 @@
     types::{CallId, RequestKey},
 };
 
-/// Time after the beginning of a call within which its server has fetched what
-/// the pieces need, in ms: results travel at link speed in a few ms; the rest is
-/// the way of the call and a turn of either process.
+/// Time from the start of a call until its server has fetched the inputs, in ms.
+/// Transfers take a few ms; the rest allows for network latency and scheduling delays
+/// of both processes.
 const FETCH_MS: u64 = 40;
-/// Slowness of a server from which results are kept until its call has ended: its
-/// pieces may have to be made elsewhere.
+/// Slowness of a server from which inputs are held until its call ends, since its
+/// pieces may have to run elsewhere.
 const MAX_EARLY_RELEASE_SLOWNESS: f64 = 1.5;
 
-/// Results that may be let go at a time in ms: those that a stage of a request
-/// needs.
+/// Inputs of one stage of a request, due for release at `done_at_ms`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct PendingFetch {
     pub(super) done_at_ms: u64,
@@ -33,7 +32,7 @@
 }
 
 impl StageScheduler {
-    /// Notes that pieces of a call have begun to fetch what they need.
+    /// Records that pieces of a call have started to fetch their inputs.
     pub(super) fn record_fetch(&mut self, now_ms: u64, key: &RequestKey, stage: usize) {
         let pending_fetches = PendingFetch {
             done_at_ms: now_ms + FETCH_MS,
@@ -45,7 +44,7 @@
         }
     }
 
-    /// Lets results go that have been fetched by all who need them.
+    /// Frees the results that all dependents have fetched.
     pub(super) fn release_fetched_inputs(&mut self, now_ms: u64) {
         while let Some(pending_fetches) = self
             .pending_fetches
@@ -82,10 +81,10 @@
         self.free_results(results);
     }
 
-    /// Tells whether the server of a call has what its pieces need, and is not
-    /// likely to leave them undone. A call that may wait there behind one of another
-    /// scheduler has not begun to fetch: after a scheduler was replaced in a burst, up
-    /// to a third of the pieces found their inputs gone for a second.
+    /// Returns whether the server of a call has its inputs and is likely to complete
+    /// its pieces. Under contention a call may wait at the server behind one of another
+    /// scheduler and not have started to fetch: after a scheduler was replaced in a
+    /// burst, up to a third of the pieces found their inputs missing for a second.
     fn has_fetched(&self, now_ms: u64, id: CallId) -> bool {
         let is_sole_scheduler = self.contention.is_sole_scheduler(now_ms);
         self.calls.get(&id).is_some_and(|call| {
--- a/crates/core/src/stages/handover.rs
+++ b/crates/core/src/stages/handover.rs
@@ -1,7 +1,7 @@
-//! Hands requests over to another scheduler, with what is done of them.
+//! Hands requests over to another scheduler, together with their completed pieces.
 //!
-//! Two schedulers that share the servers make each call take twice its time, so
-//! one that is replaced begins no more calls.
+//! Calls take twice as long while two schedulers share the servers, so a scheduler that
+//! is replaced starts no more calls.
 
 use super::{
     progress::uncommit,
@@ -11,8 +11,8 @@
 use crate::ids::InstanceName;
 
 impl StageScheduler {
-    /// Hands every request that is not finished over to the scheduler `to`, as
-    /// soon as none of its pieces is at work.
+    /// Hands all unfinished requests over to the scheduler `to`, each as soon as none
+    /// of its pieces is running.
     pub fn hand_over(&mut self, now_ms: u64, to: Option<&InstanceName>) {
         self.contention.on_contention_sign(now_ms);
         self.is_handing_over = true;
@@ -26,7 +26,7 @@
         self.hand_over_idle();
     }
 
-    /// Hands over the requests that are to be and have no piece at work.
+    /// Hands over the pending requests that have no running piece.
     pub(super) fn hand_over_idle(&mut self) {
         if !self.is_handing_over {
             return;
@@ -44,7 +44,7 @@
                 continue;
             };
             uncommit(&mut self.services, &request);
-            // Their servers keep the results for the one that takes over.
+            // The servers keep the results for the successor.
             let outcome = StageOutcome::Moved {
                 done: request.done_pieces(),
                 to: self.successor.clone(),
--- a/crates/core/src/stages/isolation.rs
+++ b/crates/core/src/stages/isolation.rs
@@ -1,22 +1,23 @@
-//! Keeps the pieces of suspects apart from those of other requests, so that a call that
-//! ends its server blames few, and the next one fewer.
+//! Isolates the pieces of suspects (requests under which a server has crashed) from
+//! those of other requests, so that each further crash implicates fewer requests.
 //!
-//! The load that it answers: a piece that ends its server is called together with up to
-//! 82 others, which are sent again with it. All would be blamed together three times and
-//! refused. After the first end its pieces go in calls of suspects only, each with at
-//! most the root of a batch of requests; after the second, alone. So one of 82 is found
-//! with 9 calls and then 9 more at most, and no other has more than two ends from it.
+//! A piece that crashes its server shares a call with up to 82 others, which are
+//! repeated together with it. Without isolation all of them would be implicated three
+//! times and refused. After the first crash, pieces go into calls of suspects only,
+//! with at most the square root of a batch of requests each; after the second, each
+//! request is called alone. One of 82 is thus found with 9 calls and then at most 9
+//! more, and no other request is implicated in more than two crashes.
 
 use std::collections::{HashMap, HashSet};
 
 use super::{calls::RunningCall, request::Request, types::RequestKey};
 use crate::poison::{CRASHES_TO_ISOLATE, RequestDigest};
 
-/// A request as far as it is a suspect.
+/// The number of crashes attributed to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct CrashCount {
     pub(super) digest: RequestDigest,
-    /// Servers that have ended under it.
+    /// Servers that have crashed under it.
     pub(super) ends: u32,
 }
 
@@ -32,7 +33,7 @@
         self.ends > 0
     }
 
-    /// Returns how many suspects one call may have that has this one.
+    /// Returns the maximum number of suspects in a call that contains this one.
     fn max_suspects(&self, batch_pieces: usize) -> usize {
         if self.ends >= CRASHES_TO_ISOLATE {
             return 1;
@@ -41,12 +42,12 @@
     }
 }
 
-/// The suspects of one call that is being filled.
+/// The suspects in one open batch.
 #[derive(Debug)]
 pub(super) struct SuspectGroup {
     batch_pieces: usize,
     digests: Vec<RequestDigest>,
-    /// How many there may be, by the most suspect of them.
+    /// Maximum number of suspects, set by the one with the most crashes.
     max_suspects: usize,
 }
 
@@ -59,8 +60,8 @@
         }
     }
 
-    /// Tells whether a call with this company, and with any piece yet if `is_begun`,
-    /// takes a piece of `request`.
+    /// Returns whether the batch accepts a piece of `request`; `is_begun` tells whether
+    /// the batch holds any piece yet.
     pub(super) fn accepts(&self, is_begun: bool, request: &CrashCount) -> bool {
         if !request.is_suspect() {
             return self.digests.is_empty();
@@ -85,8 +86,8 @@
     }
 }
 
-/// Which suspects have pieces at work, or in a call that is being filled: those of one
-/// request are in one call at a time, else each could end a server.
+/// Tracks which suspects have running pieces or are assigned to an open batch. Pieces
+/// of one suspect run in one call at a time, as each call could crash a server.
 #[derive(Debug, Default)]
 pub(super) struct Isolation {
     running: HashSet<RequestDigest>,
@@ -94,7 +95,7 @@
 }
 
 impl Isolation {
-    /// Looks for the suspects among the requests that have pieces at work.
+    /// Collects the suspects among the requests with running pieces.
     pub(super) fn new<'a>(
         calls: impl IntoIterator<Item = &'a RunningCall>,
         requests: &HashMap<RequestKey, Request>,
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Tells whether a piece of `request` may go into the call `index`.
+    /// Returns whether a piece of `request` may go into the open batch `index`.
     pub(super) fn allows(&self, request: &CrashCount, index: usize) -> bool {
         if !request.is_suspect() {
             return true;
--- a/crates/core/src/stages/progress.rs
+++ b/crates/core/src/stages/progress.rs
@@ -1,4 +1,4 @@
-//! How the stages of requests go on, from one to the next and to their end.
+//! Moves requests from one stage to the next, until they are completed or refused.
 
 use std::collections::BTreeMap;
 
@@ -13,14 +13,14 @@
 };
 use crate::ids::{BackendName, PoolName};
 
-/// Time to come back after when a service has no server, in ms.
+/// Retry time given to callers when a service has no available server, in ms.
 const NO_SERVER_RETRY_AFTER_MS: u64 = 500;
-/// Time after which the results of a request that nobody releases are dropped
-/// from the books, in ms; servers drop them by themselves.
+/// Time after its deadline for which a completed request is tracked if nobody releases
+/// it, in ms. Servers expire its results on their own.
 const RELEASE_GRACE_MS: u64 = 1_000;
 
 impl StageScheduler {
-    /// Returns the time that follows each stage until the answer begins.
+    /// Returns, for each stage, the time from its end until the response begins, in ms.
     pub(super) fn rest_ms(&self, submission: &Submission) -> Vec<u64> {
         let mut rest_ms = vec![submission.rest_ms; submission.stages.len()];
         for (index, stage) in submission.stages.iter().enumerate().rev() {
@@ -41,7 +41,8 @@
         rest_ms
     }
 
-    /// Notes that a request can't make its goal.
+    /// Marks a request as unable to make its goal, and moves its waiting pieces back in
+    /// their queues.
     pub(super) fn mark_late(&mut self, key: &RequestKey) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
@@ -62,8 +63,8 @@
         }
     }
 
-    /// Makes pieces wait whose results are there, frees what is used up and
-    /// tells whoever submitted the request once all is done.
+    /// Queues the pieces whose inputs are available, frees results that are no longer
+    /// needed, and reports the request once all its stages are completed.
     pub(super) fn advance(&mut self, now_ms: u64, key: &RequestKey) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
@@ -137,7 +138,7 @@
         self.advance(now_ms, &waiting.key);
     }
 
-    /// Ends a request that can't be finished.
+    /// Refuses a request that can't be completed.
     pub(super) fn refuse(&mut self, now_ms: u64, key: &RequestKey, reason: Refusal) {
         let Some(request) = self.requests.get(key) else {
             return;
@@ -192,8 +193,8 @@
         self.free_results(unneeded);
     }
 
-    /// Ends requests whose callers have given up or that can't be answered
-    /// before they do.
+    /// Refuses the requests whose deadline has passed, and drops completed ones that
+    /// nobody released.
     pub(super) fn drop_expired(&mut self, now_ms: u64) {
         if self.earliest_drop_ms.is_none_or(|at_ms| at_ms > now_ms) {
             return;
@@ -212,7 +213,7 @@
 }
 
 impl Request {
-    /// Returns the time at which it is of no use to go on, in ms.
+    /// Returns the time after which the request is dropped, in ms.
     pub(super) fn drop_at_ms(&self) -> u64 {
         if self.is_finished {
             self.deadline_at_ms + RELEASE_GRACE_MS
@@ -222,7 +223,7 @@
     }
 }
 
-/// Takes the pieces of a request that are not done out of what is committed.
+/// Subtracts the unfinished pieces of a request from the committed ones.
 pub(super) fn uncommit(services: &mut BTreeMap<PoolName, StageService>, request: &Request) {
     for (stage, unfinished) in request.unfinished_by_stage().into_iter().enumerate() {
         let name = &request.submission.stages[stage].service;
--- a/crates/core/src/stages/queue.rs
+++ b/crates/core/src/stages/queue.rs
@@ -1,27 +1,24 @@
-//! The pieces that wait for the servers of one service, in the order in which
-//! they are to be sent.
+//! The pieces that wait for the servers of one service, in dispatch order.
 //!
-//! With 75 instances some thousand pieces a second pass through the queues of
-//! one scheduler, so adding, taking and finding a piece must not look at the
-//! others.
+//! With 75 instances, thousands of pieces a second pass through the queues of one
+//! scheduler, so no operation on one piece may scan the others.
 
 use std::collections::BTreeMap;
 
 use super::{request::PieceId, types::RequestKey};
 
-/// Where a piece stands in its queue: those that can still make their goal by
-/// the latest time at which they have to begin, then the others by their
-/// deadline.
+/// Sort key of a piece: first the pieces that can still make their goal, by latest
+/// start time, then the late ones, by deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueKey {
-    /// Whether its request can't make its goal any more.
+    /// Whether its request can no longer make its goal.
     pub(super) is_late: bool,
-    /// That time, or the deadline of a late one, in ms; the usual time of the
-    /// stage, which all pieces of the queue share, is not taken off.
+    /// Latest start time, or the deadline of a late request, in ms. The mean latency of
+    /// the stage is not subtracted, as it is the same for all pieces of the queue.
     pub(super) sort_ms: u64,
-    /// Number of its request.
+    /// Arrival number of its request.
     pub(super) request_number: u64,
-    /// Which piece it is.
+    /// Identifies the piece within its request.
     pub(super) piece_id: PieceId,
 }
 
@@ -30,9 +27,9 @@
 pub(super) struct WaitingPiece {
     pub(super) key: RequestKey,
     pub(super) piece_id: PieceId,
-    /// Time at which it became ready, in ms.
+    /// Time at which its inputs were complete, in ms.
     pub(super) ready_at_ms: u64,
-    /// Size of its result, in bytes.
+    /// Expected size of its result, in bytes.
     pub(super) result_bytes: u64,
 }
 
@@ -40,7 +37,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     pieces: BTreeMap<QueueKey, WaitingPiece>,
-    /// Pieces that were ever added.
+    /// Number of pieces added so far.
     total_added: u64,
 }
 
@@ -70,7 +67,7 @@
         self.pieces.is_empty()
     }
 
-    /// Returns a number that is another one after each piece that is added.
+    /// Returns the number of pieces added so far, which changes with each addition.
     pub(super) fn total_added(&self) -> u64 {
         self.total_added
     }
--- a/crates/core/src/stages/request.rs
+++ b/crates/core/src/stages/request.rs
@@ -1,4 +1,4 @@
-//! The stages of one request: what is done, what can be done next.
+//! The stages of one request: which pieces are completed and which can run next.
 
 use std::collections::HashSet;
 
@@ -10,66 +10,65 @@
 };
 use crate::ids::{BackendName, ZoneName};
 
-/// Time by which the pieces of a request of one rank less go later than they
-/// have to, in ms: half of a call, so that among requests that came together
-/// the more urgent fill the next call.
+/// Delay of the latest start time per rank, in ms: half of a call, so that among
+/// requests that arrived together the more urgent ones fill the next call.
 const RANK_DELAY_MS: u64 = 150;
-/// Most such time, in ms: ranks below the fourth are not told apart.
+/// Maximum delay, in ms. Ranks from the fourth on are treated alike.
 pub(super) const MAX_RANK_DELAY_MS: u64 = 4 * RANK_DELAY_MS;
 
-/// Where one piece stands.
+/// The state of one piece.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum PieceState {
-    /// Results that it needs are missing.
+    /// Some of its inputs are missing.
     Blocked,
     /// It waits for a backend server.
     Waiting,
     /// It is part of a call.
     Running(CallId),
-    /// Its result is kept by a server.
+    /// It is completed, and a server stores its result.
     Done {
-        /// The server.
+        /// Server that stores the result.
         server: BackendName,
-        /// The result.
+        /// Reference to the result.
         result: ResultRef,
     },
-    /// Its result was there and is not needed any more.
+    /// It is completed, and its result has been released.
     Freed,
 }
 
-/// Names one piece of a request.
+/// Identifies one piece of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct PieceId {
     pub(super) stage: usize,
     pub(super) piece: u32,
 }
 
-/// One request and how far its stages are.
+/// A request and the progress of its stages.
 #[derive(Debug)]
 pub(super) struct Request {
     pub(super) submission: Submission,
-    /// Number of the request, in the order of arrival.
+    /// Arrival number of the request.
     pub(super) number: u64,
-    /// Time by which its answer should begin, in ms.
+    /// Time by which the response should begin, in ms.
     pub(super) goal_at_ms: u64,
-    /// Time at which its caller gives up, in ms.
+    /// Time at which the caller gives up, in ms.
     pub(super) deadline_at_ms: u64,
-    /// Time that follows each stage until the answer begins, in ms.
+    /// Time from the end of each stage until the response begins, in ms.
     pub(super) rest_ms: Vec<u64>,
     /// Pieces of each stage.
     pub(super) pieces: Vec<Vec<PieceState>>,
-    /// Zone in which the results of its middle stages are collected.
+    /// Availability zone in which the results of intermediate stages are collected.
     pub(super) intermediate_zone: Option<ZoneName>,
-    /// Pieces that were sent again after a failure.
+    /// Pieces repeated after a failure.
     pub(super) repeats: u32,
-    /// How it was taken.
+    /// The class in which it was admitted.
     pub(super) admission_class: AdmissionClass,
-    /// Whether it can't make its goal any more; it is done with what the others
-    /// leave, and nobody waits for it.
+    /// Whether it can no longer make its goal. Late requests only use capacity that the
+    /// others leave.
     pub(super) is_late: bool,
-    /// Whether it is handed over as soon as none of its pieces is at work.
+    /// Whether it is handed over as soon as none of its pieces is running.
     pub(super) is_moving: bool,
-    /// Whether whoever submitted it was told how it ended.
+    /// Whether the submitter was notified of the outcome.
     pub(super) is_finished: bool,
 }
 
@@ -115,7 +114,7 @@
         }
     }
 
-    /// Returns where a piece stands in its queue.
+    /// Returns the sort key of a piece in its queue.
     pub(super) fn queue_key(&self, piece_id: PieceId) -> QueueKey {
         let rank_delay_ms = u64::from(self.submission.priority) * RANK_DELAY_MS;
         let latest_start_ms = (self.goal_at_ms + rank_delay_ms.min(MAX_RANK_DELAY_MS))
@@ -146,7 +145,7 @@
         waiting
     }
 
-    /// Makes pieces wait whose results are all there, and names them.
+    /// Marks the pieces whose inputs are complete as waiting, and returns them.
     pub(super) fn unblock(&mut self) -> Vec<PieceId> {
         let mut ready = Vec::new();
         for stage in 0..self.pieces.len() {
@@ -164,14 +163,14 @@
         ready
     }
 
-    /// Tells whether all results are there that a stage needs.
+    /// Returns whether all inputs of a stage are available.
     pub(super) fn has_inputs(&self, stage: usize) -> bool {
         let mut after = self.submission.stages[stage].after.iter();
         after.all(|needed| self.is_stage_done(*needed))
     }
 
-    /// Returns what a piece of a stage and those that need its result fetch, in
-    /// bytes: each piece fetches the results of all pieces before it.
+    /// Returns the bytes fetched by a piece of a stage and by the dependents of its
+    /// result. Each piece fetches the results of all pieces of the stages before it.
     pub(super) fn transfer_bytes(&self, stage: usize) -> u64 {
         let stages = &self.submission.stages;
         let dependents = stages.iter().filter(|other| other.after.contains(&stage));
@@ -179,9 +178,9 @@
         self.input_bytes(stage) + stages[stage].result_bytes * dependents.max(1)
     }
 
-    /// Returns the zone in which a stage is best made. Drawing every stage to the
-    /// engine's zone costs 0.007 of the worth of a day (standard error 0.004, 36
-    /// days played with and without it).
+    /// Returns the zone in which a stage should run. Running every stage in the
+    /// engine's zone would cost 0.007 of the total value of a day's requests (standard
+    /// error 0.004, 36 simulated days with and without it).
     pub(super) fn preferred_zone(&self, stage: usize) -> Option<&ZoneName> {
         if self.prefers_home_zone(stage) {
             self.submission.home_zone.as_ref()
@@ -190,13 +189,13 @@
         }
     }
 
-    /// Tells whether the engine that fetches the results of a stage matters more
-    /// for where it is made than the results that the stage needs.
+    /// Returns whether a stage should run close to the engine, which fetches its
+    /// results, rather than close to its inputs.
     pub(super) fn prefers_home_zone(&self, stage: usize) -> bool {
         self.is_final(stage) && self.submission.stages[stage].result_bytes > self.input_bytes(stage)
     }
 
-    /// Returns what each piece of a stage fetches, in bytes.
+    /// Returns the bytes of input that each piece of a stage fetches.
     fn input_bytes(&self, stage: usize) -> u64 {
         let stages = &self.submission.stages;
         let size = |stage: &usize| u64::from(stages[*stage].pieces) * stages[*stage].result_bytes;
@@ -212,7 +211,7 @@
         })
     }
 
-    /// Tells whether it is not finished and can't make its goal any more.
+    /// Returns whether it is unfinished and can no longer make its goal.
     pub(super) fn has_missed_goal(&self, now_ms: u64) -> bool {
         !self.is_finished && (self.is_late || now_ms >= self.goal_at_ms)
     }
@@ -221,7 +220,7 @@
         (0..self.pieces.len()).all(|stage| self.is_stage_done(stage))
     }
 
-    /// Returns the pieces of each stage that are not done.
+    /// Returns the number of unfinished pieces of a stage.
     pub(super) fn unfinished_pieces(&self, stage: usize) -> usize {
         self.pieces[stage]
             .iter()
@@ -241,7 +240,7 @@
             .get(piece_id.piece as usize)
     }
 
-    /// Returns the results that a stage needs, by stage and piece.
+    /// Returns the handles of the inputs of a stage, ordered by stage and piece.
     pub(super) fn inputs(&self, stage: usize) -> Vec<String> {
         let after = &self.submission.stages[stage].after;
         let results = after.iter().flat_map(|needed| self.results(*needed));
@@ -256,7 +255,7 @@
         })
     }
 
-    /// Returns the results that no other stage uses.
+    /// Returns the results that no other stage consumes.
     pub(super) fn final_results(&self) -> Vec<ResultRef> {
         (0..self.pieces.len())
             .filter(|stage| self.is_final(*stage))
@@ -269,8 +268,8 @@
         !stages.any(|other| other.pieces > 0 && other.after.contains(&stage))
     }
 
-    /// Takes out the results that are not needed any more: those whose users
-    /// are all done, or everything when `all` is set.
+    /// Removes the results that are no longer needed: those whose dependents are all
+    /// completed, or all results if `all` is set.
     pub(super) fn take_unneeded(&mut self, all: bool) -> Vec<(BackendName, ResultRef)> {
         let mut removed = Vec::new();
         for stage in 0..self.pieces.len() {
@@ -283,8 +282,8 @@
         removed
     }
 
-    /// Leaves the results that were made for another scheduler to their servers, which
-    /// drop them in time.
+    /// Drops the references to inherited results without freeing them; their servers
+    /// expire them.
     pub(super) fn disown_inherited(&mut self) {
         let done = self.submission.done.iter();
         let inherited = done.filter_map(|done| done.kept.as_ref());
@@ -300,7 +299,7 @@
         }
     }
 
-    /// Takes the results of a stage out.
+    /// Removes the results of a stage.
     pub(super) fn take_results(&mut self, stage: usize) -> Vec<(BackendName, ResultRef)> {
         let mut removed = Vec::new();
         for piece in &mut self.pieces[stage] {
@@ -314,7 +313,7 @@
         removed
     }
 
-    /// Returns the stages that need the results of another one.
+    /// Returns the stages that depend on a stage.
     pub(super) fn dependents(&self, stage: usize) -> impl Iterator<Item = usize> {
         let stages = self.submission.stages.iter().enumerate();
         stages
@@ -327,19 +326,19 @@
             .all(|dependent| self.is_stage_done(dependent))
     }
 
-    /// Tells whether results that a stage needs have been let go.
+    /// Returns whether any input of a stage has been freed.
     pub(super) fn has_freed_inputs(&self, stage: usize) -> bool {
         let mut inputs = self.input_pieces(stage).into_iter();
         inputs.any(|piece_id| self.piece_state(piece_id) == Some(&PieceState::Freed))
     }
 
-    /// Tells whether any of its pieces is at work.
+    /// Returns whether any of its pieces is running.
     pub(super) fn is_running(&self) -> bool {
         let mut pieces = self.pieces.iter().flatten();
         pieces.any(|piece| matches!(piece, PieceState::Running(_)))
     }
 
-    /// Returns the pieces that are done.
+    /// Returns the completed pieces.
     pub(super) fn done_pieces(&self) -> Vec<DonePiece> {
         let mut done_pieces = Vec::new();
         for (stage, pieces) in self.pieces.iter().enumerate() {
@@ -356,16 +355,15 @@
         done_pieces
     }
 
-    /// Returns the pieces that are not done, by stage.
+    /// Returns the number of unfinished pieces of each stage.
     pub(super) fn unfinished_by_stage(&self) -> Vec<usize> {
         let stages = 0..self.pieces.len();
         stages.map(|stage| self.unfinished_pieces(stage)).collect()
     }
 
-    /// Makes the results that a stage needs be produced again: those whose
-    /// servers are not known any more or that were let go, or else all of them. What
-    /// they need in turn is produced again where it was let go, and what waits
-    /// for any of it waits until all is there.
+    /// Marks the inputs of a stage to be produced again: those that were freed or whose
+    /// servers are gone, or else all of them. Their own inputs are produced again where
+    /// they were freed. Waiting pieces that depend on any of these become blocked.
     pub(super) fn regenerate_inputs(
         &mut self,
         stage: usize,
--- a/crates/core/src/stages/results.rs
+++ b/crates/core/src/stages/results.rs
@@ -1,4 +1,4 @@
-//! The results that servers keep, for the memory that they take there.
+//! Tracks the results stored by servers and the memory they use.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -10,22 +10,22 @@
 };
 use crate::ids::{BackendName, PoolName};
 
-/// One result that a server keeps.
+/// One result stored by a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct StoredResult {
     pub(super) server: BackendName,
-    /// The request that it was made for.
+    /// The request that it belongs to.
     pub(super) key: RequestKey,
     pub(super) bytes: u64,
-    /// Time at which the server drops it by itself, in ms.
+    /// Time at which the server expires it, in ms.
     pub(super) expires_at_ms: u64,
 }
 
-/// All results that are kept, by their names.
+/// All stored results, by handle.
 #[derive(Debug, Default)]
 pub(super) struct ResultTable {
     by_handle: HashMap<String, StoredResult>,
-    /// Names in the order in which they were made.
+    /// Handles, oldest first.
     by_age: VecDeque<String>,
 }
 
@@ -35,14 +35,14 @@
         self.by_age.push_back(handle.to_owned());
     }
 
-    /// Forgets a result, and returns the memory that it took.
+    /// Removes a result and returns the memory it used, in bytes.
     pub(super) fn remove(&mut self, handle: &str) -> u64 {
         self.by_handle
             .remove(handle)
             .map_or(0, |result| result.bytes)
     }
 
-    /// Returns when a server drops a result next, in ms.
+    /// Returns the time of the next expiry, in ms.
     pub(super) fn next_expiry_ms(&self) -> Option<u64> {
         let mut result = self
             .by_age
@@ -51,7 +51,7 @@
         result.next().map(|result| result.expires_at_ms)
     }
 
-    /// Takes out the results that their servers have dropped by now.
+    /// Removes and returns the results that have expired by now.
     pub(super) fn take_expired(&mut self, now_ms: u64) -> Vec<StoredResult> {
         let mut expired = Vec::new();
         while let Some(handle) = self.by_age.front() {
@@ -67,7 +67,7 @@
 }
 
 impl StageScheduler {
-    /// Notes that a server has freed results, or drops them by itself soon.
+    /// Handles results that a server has freed or is about to expire.
     pub fn on_freed(&mut self, server: &BackendName, handles: &[String]) {
         let bytes = handles
             .iter()
@@ -76,7 +76,7 @@
         self.return_memory(server, bytes);
     }
 
-    /// Notes the results that another scheduler has had made.
+    /// Records the results that a previous scheduler obtained.
     pub(super) fn record_inherited_results(&mut self, now_ms: u64, submission: &Submission) {
         let inherited = submission.done.iter().filter_map(|done| done.kept.as_ref());
         for (name, result) in inherited {
@@ -98,10 +98,10 @@
         }
     }
 
-    /// Notes that servers have dropped results whose time was over. A late request
-    /// that still needed them would have to begin anew; it is given up. On the day
-    /// with the longest queues that gains 0.019 of its worth (standard error 0.005,
-    /// six days played with and without it), on others nothing.
+    /// Accounts for expired results. A late request that still needs one would have to
+    /// start over and is refused instead. This gains 0.019 of the total value of the
+    /// requests on the day with the longest queues (standard error 0.005, six simulated
+    /// days with and without it), and nothing on others.
     pub(super) fn expire_results(&mut self, now_ms: u64) {
         for expired in self.results.take_expired(now_ms) {
             self.return_memory(&expired.server, expired.bytes);
@@ -152,7 +152,7 @@
                 .map(|(service, _)| service.clone());
             match service {
                 Some(service) => self.free(&service, &name, handles),
-                // Its results are gone with it.
+                // The server is gone, and its results with it.
                 None => {
                     for handle in &handles {
                         self.results.remove(handle);
--- a/crates/core/src/stages/scheduler.rs
+++ b/crates/core/src/stages/scheduler.rs
@@ -1,4 +1,4 @@
-//! Schedules the pieces of all requests over the servers of all services.
+//! Schedules the pieces of all requests on the servers of all services.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 
@@ -20,14 +20,14 @@
     poison::RequestDigest,
 };
 
-/// How one piece of a call ended.
+/// The outcome of one piece of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ItemOutcome {
-    /// Its result is kept under this name.
+    /// It is completed; holds the handle of its result.
     Done(String),
-    /// Its time had passed when its turn came.
+    /// Its deadline had passed when the server started it.
     Late,
-    /// A result that it needs is gone.
+    /// One of its inputs is missing.
     InputGone,
     /// The server has no memory for its result.
     NoRoom,
@@ -35,22 +35,23 @@
     Failed,
 }
 
-/// How a call ended.
+/// The outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It was answered, piece by piece.
+    /// The server responded; holds the outcome of each piece.
     Answered(Vec<ItemOutcome>),
-    /// The server did not take it.
+    /// The server rejected the call as full.
     Full,
-    /// The server backs off until a time, in ms; it rejected the call, or was not sent it.
+    /// The server backs off until the given time, in ms; it rejected the call, or the
+    /// call was not sent.
     BackingOff(u64),
-    /// Another run of a server has the address.
+    /// The address now belongs to another run of a server.
     Misdirected,
     /// No connection could be made.
     Unreachable,
-    /// Its answer was lost or made no sense.
+    /// The response was lost or invalid.
     Lost,
-    /// The server has ended under it; so many have now under its requests.
+    /// The server has crashed under the call; holds the crash counts of its requests.
     ServerEnded(Vec<(RequestDigest, u32)>),
 }
 
@@ -69,37 +70,37 @@
     }
 }
 
-/// The scheduler of pieces of one instance.
+/// Schedules the pieces of one or more instances.
 #[derive(Debug, Default)]
 pub struct StageScheduler {
     pub(super) services: BTreeMap<PoolName, StageService>,
     pub(super) requests: HashMap<RequestKey, Request>,
     pub(super) calls: HashMap<CallId, RunningCall>,
     pub(super) results: ResultTable,
-    /// Results that are being fetched, in the order of their time.
+    /// Stages whose inputs are being fetched, by the time of their release.
     pub(super) pending_fetches: VecDeque<PendingFetch>,
     pub(super) last_call: u64,
     /// Number of the last request.
     last_request: u64,
-    /// Time before which no request is dropped, in ms; those that have ended
-    /// since may be the reason.
+    /// Time before which no request is dropped, in ms. It may be too early, as requests
+    /// that have ended since still count.
     pub(super) earliest_drop_ms: Option<u64>,
-    /// Whether other schedulers may call the servers too.
+    /// Whether other schedulers may be calling the servers.
     pub(super) contention: Contention,
-    /// Whether requests are left that are to be handed over.
+    /// Whether requests are left to be handed over.
     pub(super) is_handing_over: bool,
     pub(super) refusals: RefusalHistory,
-    /// The scheduler that goes on with what is handed over.
+    /// The scheduler that requests are handed over to.
     pub(super) successor: Option<InstanceName>,
-    /// Requests that came as suspects or became so here, also some that have ended.
+    /// Requests that were or became suspects here; includes ended ones.
     pub(super) suspects: HashSet<RequestKey>,
     pub(super) actions: Vec<StageAction>,
 }
 
 impl StageScheduler {
-    /// Takes over the configured services, the registered servers and the availability
-    /// zones that are evacuated: their servers get nothing new, and their results are
-    /// used.
+    /// Applies the configured services, the registered servers and the evacuated
+    /// availability zones. Servers in evacuated zones get no new calls, but their
+    /// results are still used.
     pub fn configure<'a>(
         &mut self,
         config: &RoutingConfig,
@@ -141,8 +142,8 @@
         }
     }
 
-    /// Takes over how many calls a second servers take that name a limit, of which this
-    /// scheduler uses `share`.
+    /// Applies the rate limits of servers, in calls a second. This scheduler uses
+    /// `share` of each limit.
     pub fn set_limits(&mut self, limit_per_s: impl Fn(&BackendName) -> Option<f64>, share: f64) {
         for service in self.services.values_mut() {
             for (name, server) in &mut service.servers {
@@ -152,14 +153,14 @@
         }
     }
 
-    /// Takes a request's stages, or refuses them where they would not be done in
-    /// time; how they end is told by an action.
+    /// Admits the stages of a request, or refuses them if they would not be completed
+    /// in time. The outcome is reported by an action.
     pub fn submit(&mut self, now_ms: u64, submission: Submission) {
         self.contention.on_submission(now_ms);
         if submission.ends > 0 {
             self.suspects.insert(submission.key.clone());
         }
-        // What another scheduler has begun is finished.
+        // Requests that another scheduler has started are always admitted.
         let is_begun = !submission.done.is_empty();
         let admitted = admission::admit(now_ms, &submission, &self.services, &self.refusals);
         let Some(admission_class) = admitted.or(is_begun.then_some(AdmissionClass::InTime)) else {
@@ -192,8 +193,8 @@
         self.advance(now_ms, &key);
     }
 
-    /// Gives up a request whose caller has gone, or has found another scheduler: what
-    /// it brought with it may be in use there, and is left to expire.
+    /// Removes a request whose caller has gone or uses another scheduler. Results that
+    /// came with it may be in use there and are left to expire.
     pub fn cancel(&mut self, key: &RequestKey) {
         if let Some(request) = self.requests.get_mut(key) {
             request.disown_inherited();
@@ -201,12 +202,12 @@
         self.remove(key);
     }
 
-    /// Notes that the results of a request are not needed any more.
+    /// Frees the results of a request that are no longer needed.
     pub fn release(&mut self, key: &RequestKey) {
         self.remove(key);
     }
 
-    /// Sends what can be sent, and returns what has to be done.
+    /// Dispatches waiting pieces and returns the actions to carry out.
     pub fn poll(&mut self, now_ms: u64) -> Vec<StageAction> {
         self.drop_expired(now_ms);
         self.expire_results(now_ms);
@@ -239,7 +240,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns the time at which it has to be polled even if nothing happens.
+    /// Returns the time of the next poll that is due without any other event.
     pub fn next_poll_ms(&self, now_ms: u64) -> Option<u64> {
         let waited_for = self
             .services
@@ -263,7 +264,7 @@
         due.chain(self.results.next_expiry_ms()).min()
     }
 
-    /// Returns what is waiting and at work: requests, pieces and calls.
+    /// Returns the number of tracked requests, waiting pieces and running calls.
     pub fn load(&self) -> (usize, usize, usize) {
         let waiting = self.services.values().map(|service| service.queue.len());
         (self.requests.len(), waiting.sum(), self.calls.len())
--- a/crates/core/src/stages/selection.rs
+++ b/crates/core/src/stages/selection.rs
@@ -1,93 +1,93 @@
-//! Chooses the instance that schedules the pieces of this one.
+//! Selects the instance that schedules the pieces of this one.
 //!
-//! Every instance goes through the same list and takes the first one that it
-//! reaches. The list is ordered by a hash of the names, which restarts do not
-//! change, so that all agree as soon as they know the same names. Two schedulers
-//! that share the servers for a while send smaller calls and meet full queues, which
-//! is no harm where it is two of them.
+//! Every instance uses the first reachable entry of the same list. The list is ordered
+//! by a hash of the instance names, which restarts do not change, so instances that
+//! know the same names agree. Two schedulers that share the servers for a while send
+//! smaller calls and find queues full, which does no lasting harm.
 //!
-//! The load that it answers beside that: hundreds of instances come back within the
-//! same second after a loss of power, with their callers waiting. Each that schedules
-//! for itself until it has found the first one takes servers from all others for as
-//! long as its requests last; with 295 instances that was six seconds. So one that
-//! has only just begun to look takes nobody before that one has answered, and gives
-//! those before it the time to start.
+//! Many schedulers do: after a power loss, hundreds of instances restart within the
+//! same second while their callers wait. An instance that schedules for itself until it
+//! finds the elected one keeps servers busy for as long as its requests last; with 295
+//! instances that took six seconds. A starting instance therefore uses no scheduler
+//! before one has responded, and gives candidates further ahead in the list time to
+//! start.
 
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::ids::InstanceName;
 
-/// Time for which an instance that was not reached is passed over, in ms: one
-/// look. After all were restarted at once, those that waited 4 s before they
-/// asked again scheduled beside the others, and each call took twice its time.
+/// Initial time for which an unreachable candidate is not probed, in ms: one probe
+/// interval. With 4 s, instances that were restarted together scheduled side by side
+/// and each call took twice as long.
 const INITIAL_PAUSE_MS: u64 = 250;
-/// Time after the first failure in which instances are asked again at each look, in
-/// ms: where all start at once, those that are not up yet will be soon, and until
-/// then up to 31 instances scheduled beside each other.
+/// Time after the first failure during which candidates are probed in every round, in
+/// ms. Where all instances start at once, the missing ones will be up soon; until then
+/// up to 31 instances scheduled side by side.
 const STARTING_MS: u64 = 3_000;
-/// Time for which an instance is passed over in that time, in ms: less than the
-/// time between two looks.
+/// Time for which an unreachable candidate is not probed during that phase, in ms: less
+/// than the time between two rounds.
 const STARTING_PAUSE_MS: u64 = 100;
-/// Time from the first look in which those before the one that is reached may still
-/// come up, in ms: instances that start together are up within 300 ms of each other.
+/// Time from the first round during which candidates ahead of the responding one may
+/// still start, in ms: instances that are restarted together are up within 300 ms of
+/// each other.
 const DISCOVERY_MS: u64 = 500;
-/// Instances that are asked at the same time while none has answered: those that were
-/// taken away for good stay listed and do not answer.
+/// Candidates probed in parallel while none has responded. Permanently removed
+/// instances stay listed and do not respond.
 const MAX_PARALLEL_PROBES: usize = 3;
-/// Time between two questions to the next one behind the one that schedules, in ms: all
-/// agree on it at once when that one leaves or is lost.
+/// Time between two probes of the successor, in ms. All instances then agree on it at
+/// once when the scheduler leaves or is lost.
 const SUCCESSOR_PROBE_INTERVAL_MS: u64 = 1_000;
-/// Doublings of that time while it stays away.
+/// Maximum number of doublings of the pause of an unreachable candidate.
 const MAX_PAUSE_DOUBLINGS: u32 = 2;
-/// Questions without an answer after which an instance counts as not reached.
+/// Consecutive probes without response after which a candidate counts as unreachable.
 const MAX_MISSES: u32 = 2;
-/// Classes of processors: instances with half of the strongest one's share or
-/// more come first.
+/// Share of the strongest candidate's cores from which a candidate belongs to the class
+/// that is listed first.
 const STRONG_CORES_SHARE: f64 = 0.5;
 
-/// An instance that can schedule, as the store lists it.
+/// An instance that can be the scheduler, as listed in the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// Its name.
+    /// Name of the instance.
     pub instance: InstanceName,
-    /// Part of a core that it has.
+    /// CPU cores available to it; may be a fraction.
     pub cores: f64,
 }
 
-/// How far an instance is reached.
+/// What is known about a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CandidateState {
-    /// It has not answered yet, and left this many questions unanswered.
+    /// It has not responded yet; holds the number of missed probes.
     Unknown(u32),
-    /// It answers.
+    /// It responds.
     Responding,
-    /// It left this many questions unanswered.
+    /// It has responded before; holds the number of probes missed since.
     Missed(u32),
-    /// It is passed over.
+    /// It counts as unreachable and is skipped.
     Unreachable {
-        /// Failures in a row.
+        /// Consecutive failures.
         failures: u32,
-        /// Time of the next question, in ms.
+        /// Time of the next probe, in ms.
         probe_at_ms: u64,
     },
-    /// It says that it does not schedule for others.
+    /// It declines to schedule for others.
     Declining {
-        /// Time of the next question, in ms.
+        /// Time of the next probe, in ms.
         probe_at_ms: u64,
     },
 }
 
-/// The list of candidates, and who is reached.
+/// Selects the scheduler among the candidates.
 #[derive(Debug, Default)]
 pub struct SchedulerSelector {
     candidates: Vec<(Candidate, CandidateState)>,
-    /// Time of the first failure of any of them, in ms.
+    /// Time of the first failure of any candidate, in ms.
     first_failure_ms: Option<u64>,
-    /// Time of the first look, in ms.
+    /// Time of the first probe round, in ms.
     first_round_ms: Option<u64>,
-    /// Time of the last look at which the successor was asked too, in ms.
+    /// Time of the last round that included the successor, in ms.
     last_successor_probe_ms: Option<u64>,
-    /// Whether the successor is asked at this look.
+    /// Whether this round includes the successor.
     probes_successor: bool,
 }
 
@@ -98,8 +98,7 @@
 }
 
 impl SchedulerSelector {
-    /// Takes over the list of instances; what is known of those that stay is
-    /// kept.
+    /// Replaces the list of candidates, keeping the state of those that remain.
     pub fn set_candidates(&mut self, candidates: Vec<Candidate>) {
         let strongest = candidates
             .iter()
@@ -124,15 +123,15 @@
         self.candidates = listed;
     }
 
-    /// Returns the instance to schedule at as far as is known: the first that is
-    /// not known to be away.
+    /// Returns the scheduler to use by what is known: the first candidate that is
+    /// neither unreachable nor declining.
     pub fn current(&self) -> Option<&InstanceName> {
         let (candidate, _) = &self.candidates[self.first_reachable()?];
         Some(&candidate.instance)
     }
 
-    /// Returns the instance that schedules: the first that has answered, once those
-    /// before it have had the time to start.
+    /// Returns the elected scheduler: the first candidate that has responded, once
+    /// those ahead of it have had time to start.
     pub fn settled(&self, now_ms: u64) -> Option<&InstanceName> {
         let has_answered = |state: &CandidateState| {
             matches!(
@@ -162,14 +161,13 @@
         })
     }
 
-    /// Tells whether this instance has only just begun to look.
+    /// Returns whether this instance started probing less than `DISCOVERY_MS` ago.
     fn is_discovering(&self, now_ms: u64) -> bool {
         self.first_round_ms
             .is_none_or(|first_ms| now_ms < first_ms + DISCOVERY_MS)
     }
 
-    /// Notes a look for the one that schedules; the first counts once there are
-    /// candidates.
+    /// Starts a probe round. Rounds count from the first one with candidates.
     pub fn on_probe_round(&mut self, now_ms: u64) {
         if !self.candidates.is_empty() {
             self.first_round_ms.get_or_insert(now_ms);
@@ -182,8 +180,8 @@
         }
     }
 
-    /// Returns the instances to ask whether they are there: the current one, those
-    /// before it whose time has come, and the next ones while none has answered.
+    /// Returns the candidates to probe: the current one, those ahead of it that are
+    /// due, and further ones while none has responded.
     pub fn probe_targets(&self, now_ms: u64) -> Vec<InstanceName> {
         let mut targets = Vec::new();
         let mut unknown_count = 0;
@@ -218,7 +216,7 @@
         targets
     }
 
-    /// Tells whether an instance is not reached.
+    /// Returns whether an instance counts as unreachable.
     pub fn is_unreachable(&self, instance: &InstanceName) -> bool {
         let mut candidates = self.candidates.iter();
         candidates.any(|(c, state)| {
@@ -226,18 +224,18 @@
         })
     }
 
-    /// Notes that an instance answered that it schedules for others.
+    /// Handles the response of an instance that schedules for others.
     pub fn on_response(&mut self, instance: &InstanceName) {
         self.set(instance, |_| CandidateState::Responding);
     }
 
-    /// Notes that an instance does not schedule for others now.
+    /// Handles the response of an instance that does not schedule for others now.
     pub fn on_declined(&mut self, now_ms: u64, instance: &InstanceName) {
         let probe_at_ms = now_ms + INITIAL_PAUSE_MS;
         self.set(instance, |_| CandidateState::Declining { probe_at_ms });
     }
 
-    /// Notes that an instance left a question unanswered.
+    /// Handles a probe without response.
     pub fn on_no_response(&mut self, now_ms: u64, instance: &InstanceName) {
         let is_starting = self.is_starting(now_ms);
         self.set(instance, |state| match state {
@@ -252,13 +250,13 @@
         });
     }
 
-    /// Notes that an instance could not be reached at all.
+    /// Handles a failed connection to an instance.
     pub fn on_unreachable(&mut self, now_ms: u64, instance: &InstanceName) {
         let is_starting = self.is_starting(now_ms);
         self.set(instance, |state| after_failure(now_ms, state, is_starting));
     }
 
-    /// Tells whether this instance has only just begun to look for one.
+    /// Returns whether the first failure was less than `STARTING_MS` ago.
     fn is_starting(&mut self, now_ms: u64) -> bool {
         let first_failure_ms = *self.first_failure_ms.get_or_insert(now_ms);
         now_ms < first_failure_ms + STARTING_MS
--- a/crates/core/src/stages/service.rs
+++ b/crates/core/src/stages/service.rs
@@ -1,41 +1,41 @@
-//! One service that takes pieces: its servers and what waits for them.
+//! One service that processes pieces: its servers and its queue.
 
 use std::collections::BTreeMap;
 
 use super::{queue::Queue, server::Server};
 use crate::{forwarding::Batching, ids::BackendName};
 
-/// How much a new measure counts for the usual time of a stage.
+/// Weight of a new measurement in the mean latency of a stage.
 const LATENCY_EWMA_WEIGHT: f64 = 0.1;
 
-/// Part of a server's memory that is left for results that are larger than is said, for
-/// one result; where there are more, what they are larger by in all grows with the root
-/// of their number only, so that the part shrinks with it. A piece without room is a call
-/// in vain.
+/// Memory held in reserve at a server, as a share of one result, for results that are
+/// larger than declared. The sum of the excess sizes grows with the square root of the
+/// number of results, so the reserve is a smaller share of a larger memory. A piece
+/// without memory for its result is a wasted call.
 const MEMORY_RESERVE_FACTOR: f64 = 0.5;
 
-/// Time between two looks at pieces that wait for a server in their zone while
-/// others are idle, in ms.
+/// Time between two attempts to dispatch pieces that wait for a server in their zone
+/// while others are idle, in ms.
 pub(super) const DISPATCH_RETRY_MS: u64 = 20;
 
-/// Returns the memory, out of `room_bytes` at one server, that is given away to results
-/// of about `result_bytes` each.
+/// Returns the part of a server's `room_bytes` that may be used for results of about
+/// `result_bytes` each.
 pub(super) fn usable_memory_bytes(room_bytes: u64, result_bytes: u64) -> u64 {
     let spare = MEMORY_RESERVE_FACTOR * (room_bytes as f64 * result_bytes as f64).sqrt();
     let usable = room_bytes.saturating_sub(spare as u64);
     usable.max(result_bytes.min(room_bytes))
 }
 
-/// How a request was taken.
+/// The class in which a request was admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AdmissionClass {
-    /// It was to be in time.
+    /// It is expected to make its goal.
     InTime,
-    /// Its goal was lost already; it is done with what the others leave.
+    /// It has already missed its goal and only uses capacity that the others leave.
     Late,
 }
 
-/// Pieces of taken requests that are not done.
+/// Unfinished pieces of admitted requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Committed {
     in_time: usize,
@@ -59,21 +59,21 @@
         *count = count.saturating_sub(pieces);
     }
 
-    /// Returns the pieces that go before a new one, those that were taken late
-    /// by `late_weight` each.
+    /// Returns the pieces ahead of a new one, with those that were admitted late
+    /// weighted by `late_weight`.
     pub(super) fn weighted_pieces(&self, late_weight: f64) -> f64 {
         self.in_time as f64 + self.late as f64 * late_weight
     }
 }
 
-/// How things stood when pieces were left waiting beside idle servers: they are
-/// looked at again when anything of it changes, or after a while.
+/// The state after a dispatch that left pieces waiting while servers were idle. The
+/// next attempt follows when any of it changes, or after `DISPATCH_RETRY_MS`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct DispatchSnapshot {
     added: u64,
     idle_servers: usize,
     used_memory_bytes: u64,
-    /// Time of the look, in ms.
+    /// Time of the dispatch, in ms.
     at_ms: u64,
 }
 
@@ -82,16 +82,16 @@
 pub(super) struct StageService {
     pub(super) batching: Batching,
     pub(super) servers: BTreeMap<BackendName, Server>,
-    /// What waits for them.
+    /// Pieces that wait for the servers.
     pub(super) queue: Queue,
-    /// How things stood when pieces were left waiting beside idle servers.
+    /// The state after the last dispatch.
     pub(super) last_dispatch: Option<DispatchSnapshot>,
-    /// Pieces of taken requests that are not done, waiting for this stage or an
-    /// earlier one.
+    /// Unfinished pieces of admitted requests, waiting for this stage or an earlier
+    /// one.
     pub(super) committed: Committed,
     /// Pieces that are part of a call.
     pub(super) running_pieces: usize,
-    /// Usual time from a piece being ready to its result, in ms.
+    /// Moving average of the time from a piece becoming ready to its result, in ms.
     pub(super) mean_latency_ms: f64,
 }
 
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Tells whether any piece that waits may be sent now.
+    /// Returns whether a waiting piece may be dispatched now.
     pub(super) fn can_dispatch(&self, now_ms: u64) -> bool {
         if self.queue.is_empty() || self.idle_servers(now_ms) == 0 {
             return false;
@@ -123,7 +123,7 @@
         })
     }
 
-    /// Notes how things stand after what could be sent was sent.
+    /// Records the state after a dispatch.
     pub(super) fn record_dispatch(&mut self, now_ms: u64) {
         self.last_dispatch = Some(self.dispatch_snapshot(now_ms));
     }
@@ -142,8 +142,8 @@
         self.mean_latency_ms += LATENCY_EWMA_WEIGHT * (elapsed_ms - self.mean_latency_ms);
     }
 
-    /// Uses slow servers where there are no others: then the service is slow, and
-    /// not a server of it.
+    /// Uses the slow servers if no other server is available: the service is slow then,
+    /// rather than some of its servers.
     pub(super) fn use_slow_if_no_other(&mut self, now_ms: u64) {
         if self.available_servers(now_ms) > 0 {
             return;
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Returns the pieces that its servers finish in a ms with full batches.
+    /// Returns the pieces that its servers complete per ms with full batches.
     pub(super) fn rate_per_ms(&self, now_ms: u64) -> f64 {
         let full = self.batching.batch_pieces;
         let call_ms = self.batching.duration_ms(full);
@@ -166,8 +166,9 @@
         full as f64 * calls_per_ms
     }
 
-    /// Returns the time in which its servers finish `pieces` with full batches, in ms; servers
-    /// that back off begin once that ends. None where no server takes work by then.
+    /// Returns the time in which its servers complete `pieces` with full batches, in
+    /// ms. Servers that back off join once their backoff ends. Returns `None` if no
+    /// server accepts work by then.
     pub(super) fn drain_ms(&self, now_ms: u64, pieces: f64) -> Option<f64> {
         let full = self.batching.batch_pieces;
         let call_ms = self.batching.duration_ms(full);
@@ -192,8 +193,8 @@
         (rate > 0.0).then(|| at_ms + left / rate)
     }
 
-    /// Returns the time until a server takes work, in ms: 0 if one does now, none if all are
-    /// unavailable for another reason than backoff.
+    /// Returns the time until a server accepts work, in ms: 0 if one does now, `None`
+    /// if all servers are unavailable for a reason other than backoff.
     pub(super) fn available_in_ms(&self, now_ms: u64) -> Option<u64> {
         if self.available_servers(now_ms) > 0 {
             return Some(0);
@@ -201,15 +202,15 @@
         self.backing_off(now_ms).map(|(left_ms, _)| left_ms).min()
     }
 
-    /// Returns the servers that only their backoff keeps from work, and what is left of it in
-    /// ms.
+    /// Returns the servers that only their backoff keeps from getting work, with the
+    /// rest of it in ms.
     fn backing_off(&self, now_ms: u64) -> impl Iterator<Item = (u64, &Server)> {
         let servers = self.servers.values();
         servers.filter_map(move |server| Some((server.backoff_left_ms(now_ms)?, server)))
     }
 
-    /// Returns the pieces that idle rate-limited servers take now, however low their limits;
-    /// keeps them probed.
+    /// Returns the pieces that idle rate-limited servers accept now, however low their
+    /// limits. This makes sure that such servers are still called.
     pub(super) fn immediate_pieces(&self, now_ms: u64) -> usize {
         let servers = self.servers.values();
         let limited = servers.filter(|server| server.limit_per_s.is_some());
@@ -217,13 +218,13 @@
         ready * self.batching.batch_pieces
     }
 
-    /// Returns the servers that take work.
+    /// Returns the number of available servers.
     pub(super) fn available_servers(&self, now_ms: u64) -> usize {
         let servers = self.servers.values();
         servers.filter(|server| server.is_available(now_ms)).count()
     }
 
-    /// Returns the servers that could begin a call at once.
+    /// Returns the number of servers that can start a call now.
     pub(super) fn idle_servers(&self, now_ms: u64) -> usize {
         let servers = self.servers.values();
         servers.filter(|server| server.is_idle(now_ms)).count()
--- a/crates/core/src/stages/types.rs
+++ b/crates/core/src/stages/types.rs
@@ -1,4 +1,4 @@
-//! What is submitted to a scheduler, and what it asks for.
+//! The inputs and outputs of the stage scheduler.
 
 use std::net::SocketAddr;
 
@@ -9,96 +9,96 @@
     poison::RequestDigest,
 };
 
-/// A request as its scheduler knows it.
+/// Identifies a request at its scheduler.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestKey {
-    /// Instance that took the request from its caller.
+    /// Instance that accepted the request from its caller.
     pub instance: InstanceName,
     /// Run of that instance.
     pub incarnation: Incarnation,
-    /// Number of the submission within that run.
+    /// Sequence number of the submission within that run.
     pub number: u64,
 }
 
 /// One stage of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StageWork {
-    /// Service that does it.
+    /// Service that runs it.
     pub service: PoolName,
     /// Indices of the stages whose results it needs.
     pub after: Vec<usize>,
-    /// Number of its pieces; none when it is left out.
+    /// Number of its pieces; 0 if the stage is skipped.
     pub pieces: u32,
-    /// Usual size of one result, in bytes.
+    /// Typical size of one result, in bytes.
     pub result_bytes: u64,
 }
 
 /// The stages of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submission {
-    /// How the scheduler knows it.
+    /// Identifies the request at the scheduler.
     pub key: RequestKey,
     /// Identifier that backend servers see.
     pub request: RequestId,
-    /// Its stages, by number.
+    /// Stages of the request, by index.
     pub stages: Vec<StageWork>,
-    /// Key of the pieces that need no results.
+    /// Input of the pieces of stages that need no results.
     pub piece_key: String,
-    /// Time left until its answer should begin, in ms.
+    /// Time left until the response should begin, in ms.
     pub goal_left_ms: u64,
-    /// Time left until its caller gives up, in ms.
+    /// Time left until the caller gives up, in ms.
     pub deadline_left_ms: u64,
-    /// Time by which its deadline is shorter than is usual, in ms: its caller may
-    /// have waited that long already, after a refusal.
+    /// Difference between the usual deadline and the caller's, in ms. A caller that
+    /// retries after a refusal has a shorter deadline left.
     pub missing_ms: u64,
     /// Time that the request itself needs after its stages, in ms.
     pub rest_ms: u64,
-    /// Its rank, 0 being the most urgent.
+    /// Priority rank; 0 is the most urgent.
     pub priority: u8,
-    /// Availability zone in which its results are wanted.
+    /// Availability zone in which the final results are needed.
     pub home_zone: Option<ZoneName>,
-    /// Pieces that another scheduler has had done before it handed it over.
+    /// Pieces that a previous scheduler completed before it handed the request over.
     pub done: Vec<DonePiece>,
-    /// What it asks for, under whichever identifier.
+    /// Digest of the request's content, independent of its identifier.
     pub digest: RequestDigest,
-    /// Backend servers that have ended under it, as far as is known.
+    /// Number of backend servers known to have crashed under it.
     pub ends: u32,
 }
 
-/// A piece that is done, as one scheduler hands it over to another.
+/// A completed piece, as handed over from one scheduler to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DonePiece {
-    /// Number of the stage.
+    /// Index of the stage.
     pub stage: usize,
-    /// Number of the piece.
+    /// Index of the piece.
     pub piece: u32,
-    /// The server that keeps its result, unless that is not needed any more.
+    /// The server that stores its result; `None` if the result is no longer needed.
     pub kept: Option<(BackendName, ResultRef)>,
 }
 
-/// A result that a backend server keeps.
+/// A result stored by a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResultRef {
-    /// Name under which it can be fetched.
+    /// Handle with which it can be fetched.
     pub handle: String,
-    /// Availability zone of the server that keeps it.
+    /// Availability zone of the server that stores it.
     pub zone: ZoneName,
-    /// Its usual size, in bytes.
+    /// Typical size, in bytes.
     pub bytes: u64,
 }
 
-/// Why stages were not run to their end.
+/// The reason why stages were not completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Refusal {
-    /// They would not be done in time.
+    /// They would not be completed in time.
     TooBusy,
-    /// Their time has run out.
+    /// Their deadline has passed.
     TooLate,
-    /// No backend server of a service takes pieces.
+    /// A service has no available backend server.
     NoServer,
     /// Pieces failed too often.
     Failed,
-    /// Backend servers end under it.
+    /// Backend servers crash under the request.
     EndsServers,
 }
 
@@ -118,29 +118,29 @@
 /// How the stages of a request ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StageOutcome {
-    /// All is done; these are the results that no other stage has used.
+    /// All stages are completed. Holds the results that no other stage consumes.
     Ready(Vec<ResultRef>),
-    /// Another scheduler goes on.
+    /// The request is handed over to another scheduler.
     Moved {
-        /// What is done.
+        /// Completed pieces.
         done: Vec<DonePiece>,
-        /// The instance that schedules now, as far as is known.
+        /// The instance that is now the scheduler, if known.
         to: Option<InstanceName>,
     },
-    /// Nothing more is done.
+    /// The stages are refused or abandoned.
     Refused {
-        /// Why.
+        /// The reason.
         reason: Refusal,
-        /// When another try makes sense, in ms.
+        /// Time after which the caller should retry, in ms.
         retry_after_ms: u64,
-        /// Estimated time to the end of the stages, in ms.
+        /// Estimated time until the stages would be completed, in ms.
         forecast_ms: u64,
     },
 }
 
 impl StageOutcome {
-    /// Returns the refusal of a request under which servers end. When it is tried again
-    /// is told by whoever counts them, not by how busy servers are.
+    /// Returns the refusal of a request under which servers crash. Its retry time comes
+    /// from the crash tracker rather than from the load of the servers.
     pub fn ends_servers() -> Self {
         Self::Refused {
             reason: Refusal::EndsServers,
@@ -150,79 +150,79 @@
     }
 }
 
-/// Number of a call of a scheduler.
+/// Identifies a call within a scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// What a piece is made of.
+/// The input of a piece.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ItemInput {
-    /// The request's key for pieces.
+    /// The request's piece key.
     Key(String),
-    /// Results of earlier stages.
+    /// Handles of the results of earlier stages.
     Results(Vec<String>),
 }
 
-/// One piece of a call.
+/// One piece in a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallItem {
     /// Identifier of the request.
     pub request: RequestId,
-    /// What the request asks for.
+    /// Digest of the request's content.
     pub digest: RequestDigest,
-    /// Number of the stage.
+    /// Index of the stage.
     pub stage: usize,
-    /// Number of the piece.
+    /// Index of the piece.
     pub piece: u32,
-    /// Time after which it is of no use, in ms.
+    /// Time left until its result is useless, in ms.
     pub left_ms: u64,
-    /// What it is made of.
+    /// Input of the piece.
     pub input: ItemInput,
 }
 
-/// A call of a backend server with pieces of several requests.
+/// A call to a backend server with pieces of several requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StageCall {
-    /// Number of the call.
+    /// Identifies the call.
     pub id: CallId,
     /// Service of the server.
     pub service: PoolName,
-    /// The server.
+    /// Server to call.
     pub server: BackendName,
-    /// Its address.
+    /// Address of the server.
     pub addr: SocketAddr,
-    /// Pieces, in the order in which their ends are reported.
+    /// Pieces of the call; outcomes are reported in the same order.
     pub items: Vec<CallItem>,
-    /// Time after which the call is given up, in ms.
+    /// Time after which the call is aborted, in ms.
     pub timeout_ms: u64,
 }
 
-/// What a scheduler asks for.
+/// An action that the scheduler's owner has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StageAction {
-    /// Call a backend server.
+    /// Calls a backend server.
     Call(StageCall),
-    /// Tell a backend server that results are not needed any more.
+    /// Frees results that are no longer needed at a backend server.
     Free {
-        /// The server.
+        /// Server that stores the results.
         server: BackendName,
-        /// Its address.
+        /// Address of the server.
         addr: SocketAddr,
-        /// The results.
+        /// Handles of the results.
         handles: Vec<String>,
     },
-    /// Try to connect to a backend server until it can be reached.
+    /// Tries to connect to a backend server until it is reachable.
     Probe {
-        /// The server.
+        /// Server to probe.
         server: BackendName,
-        /// Its address.
+        /// Address of the server.
         addr: SocketAddr,
     },
-    /// Tell whoever submitted a request how its stages ended.
+    /// Reports to the submitter how the stages of a request ended.
     Finish {
-        /// The request.
+        /// Identifies the request.
         key: RequestKey,
-        /// How they ended.
+        /// How the stages ended.
         outcome: StageOutcome,
     },
 }
