--- a/crates/core/src/stages.rs
+++ b/crates/core/src/stages.rs
@@ -1,7 +1,7 @@
 //! Schedules the stages that run before a request is forwarded. Each stage is split
 //! into pieces, which backend servers process in batches.
 //!
-//! One elected instance schedules the pieces of all instances that can reach it, so
+//! One selected instance schedules the pieces of all instances that can reach it, so
 //! that pieces of different requests share calls. Pieces may run more than once: when
 //! the scheduler is lost, its successor restarts the unfinished ones.
 
--- a/crates/core/src/stages/admission.rs
+++ b/crates/core/src/stages/admission.rs
@@ -104,11 +104,11 @@
         // until the first does.
         let is_begun = service.running_pieces > 0 || !service.queue.is_empty();
         let idle_ms = if is_begun { 0.0 } else { ready_ms };
-        let ahead = service.committed.weighted_pieces(late_weight) + pieces as f64;
-        let waiting = (ahead - service.immediate_pieces(now_ms) as f64).max(0.0);
+        let pieces_ahead = service.committed.weighted_pieces(late_weight) + pieces as f64;
+        let queued_pieces = (pieces_ahead - service.immediate_pieces(now_ms) as f64).max(0.0);
         let available_ms = service.available_in_ms(now_ms);
         let (Some(drain_ms), Some(available_ms)) =
-            (service.drain_ms(now_ms, waiting), available_ms)
+            (service.drain_ms(now_ms, queued_pieces), available_ms)
         else {
             is_unservable = true;
             ends_ms.push(ready_ms);
@@ -155,9 +155,9 @@
     if is_free_now && ready_ms == 0.0 {
         return 0.0;
     }
-    let open = service.available_servers(now_ms).max(1);
+    let available = service.available_servers(now_ms).max(1);
     let half = service.batching.batch_pieces / 2;
-    service.batching.duration_ms(half) / (open + 1) as f64
+    service.batching.duration_ms(half) / (available + 1) as f64
 }
 
 /// Tracks the current run of refusals.
@@ -209,17 +209,27 @@
         0
     };
     let goal_ms = submission.goal_left_ms.saturating_sub(waited_ms);
-    let in_time = forecast(now_ms, submission, services, LATE_WEIGHT);
-    if in_time.is_unservable {
+    let weighted_forecast = forecast(now_ms, submission, services, LATE_WEIGHT);
+    if weighted_forecast.is_unservable {
         return None;
     }
-    if fits_slack(submission, in_time, goal_ms, USABLE_SLACK_PERCENT[rank]) {
+    if fits_slack(
+        submission,
+        weighted_forecast,
+        goal_ms,
+        USABLE_SLACK_PERCENT[rank],
+    ) {
         return Some(AdmissionClass::InTime);
     }
-    let late = forecast_all(now_ms, submission, services);
+    let full_forecast = forecast_all(now_ms, submission, services);
     let goal_ms = submission.goal_left_ms.min(submission.deadline_left_ms);
-    let has_room = fits_slack(submission, late, goal_ms, LATE_USABLE_SLACK_PERCENT);
-    (is_returning && has_room).then_some(AdmissionClass::Late)
+    let has_slack = fits_slack(
+        submission,
+        full_forecast,
+        goal_ms,
+        LATE_USABLE_SLACK_PERCENT,
+    );
+    (is_returning && has_slack).then_some(AdmissionClass::Late)
 }
 
 /// Estimates when a request that is refused now would be admitted, in ms: once the
--- a/crates/core/src/stages/batch.rs
+++ b/crates/core/src/stages/batch.rs
@@ -188,11 +188,11 @@
         if in_zone.is_some() {
             return in_zone;
         }
-        let waits = requirements.can_wait
+        let waits_for_zone = requirements.can_wait
             && requirements
                 .zone
                 .is_some_and(|zone| self.zones.contains(zone));
-        if waits {
+        if waits_for_zone {
             return None;
         }
         self.best_fit(requirements, None, isolation)
--- a/crates/core/src/stages/calls.rs
+++ b/crates/core/src/stages/calls.rs
@@ -58,7 +58,7 @@
             service.running_pieces = service.running_pieces.saturating_sub(call.pieces.len());
         }
         if let Some(server) = self.server_mut(&call) {
-            server.calls = server.calls.saturating_sub(1);
+            server.running_calls = server.running_calls.saturating_sub(1);
             if matches!(end, CallOutcome::Answered(_)) {
                 server.on_accepted();
             }
@@ -99,8 +99,8 @@
                 }
             }
             CallOutcome::Lost | CallOutcome::ServerEnded(_) => {
-                if let CallOutcome::ServerEnded(ends) = end {
-                    self.on_ends(now_ms, ends);
+                if let CallOutcome::ServerEnded(crash_counts) = end {
+                    self.on_crashes(now_ms, crash_counts);
                 }
                 for waiting in &call.pieces {
                     self.release_memory(&call, waiting);
@@ -113,16 +113,17 @@
     /// Records how many servers have crashed under each request. Pieces of these
     /// requests are isolated from now on, and requests at the quarantine threshold are
     /// refused.
-    fn on_ends(&mut self, now_ms: u64, ends: &[(RequestDigest, u32)]) {
+    fn on_crashes(&mut self, now_ms: u64, crash_counts: &[(RequestDigest, u32)]) {
         let mut refused: Vec<RequestKey> = Vec::new();
         for (key, request) in &mut self.requests {
             let digest = request.submission.digest;
-            let Some((_, ends)) = ends.iter().find(|(ended, _)| *ended == digest) else {
+            let Some((_, crashes)) = crash_counts.iter().find(|(crashed, _)| *crashed == digest)
+            else {
                 continue;
             };
-            request.submission.ends = *ends;
+            request.submission.ends = *crashes;
             self.suspects.insert(key.clone());
-            if *ends >= CRASHES_TO_QUARANTINE {
+            if *crashes >= CRASHES_TO_QUARANTINE {
                 refused.push(key.clone());
             }
         }
@@ -150,8 +151,8 @@
     }
 
     pub(super) fn start_call(&mut self, now_ms: u64, name: &PoolName, batch: Batch) {
-        self.last_call += 1;
-        let id = CallId(self.last_call);
+        self.last_call_number += 1;
+        let id = CallId(self.last_call_number);
         let items = batch.pieces.iter().filter_map(|waiting| {
             let request = self.requests.get_mut(&waiting.key)?;
             *request.piece_state_mut(waiting.piece_id)? = PieceState::Running(id);
@@ -168,7 +169,7 @@
         let Some(server) = service.servers.get_mut(&batch.server) else {
             return;
         };
-        server.calls += 1;
+        server.running_calls += 1;
         server.record_call(now_ms);
         service.running_pieces += items.len();
         self.actions.push(StageAction::Call(StageCall {
@@ -220,11 +221,11 @@
             return self.requeue_piece(now_ms, id, waiting, true);
         };
         self.record_result(now_ms, call, waiting, handle);
-        let wanted = self.requests.get_mut(&waiting.key).filter(|request| {
+        let unfinished_request = self.requests.get_mut(&waiting.key).filter(|request| {
             let piece = request.piece_state(waiting.piece_id);
             matches!(piece, Some(PieceState::Running(_) | PieceState::Waiting))
         });
-        let Some(request) = wanted else {
+        let Some(request) = unfinished_request else {
             // The request has ended, or has this result from another server.
             self.free(&call.service, &call.server, vec![handle.clone()]);
             return;
@@ -285,8 +286,8 @@
             return self.refuse(now_ms, &waiting.key, Refusal::Failed);
         }
         let stage = &request.submission.stages[waiting.piece_id.stage];
-        let waits = has_inputs && !request.is_moving;
-        if waits && let Some(service) = self.services.get_mut(&stage.service) {
+        let is_queued = has_inputs && !request.is_moving;
+        if is_queued && let Some(service) = self.services.get_mut(&stage.service) {
             service
                 .queue
                 .add(request.queue_key(waiting.piece_id), waiting.clone());
--- a/crates/core/src/stages/contention.rs
+++ b/crates/core/src/stages/contention.rs
@@ -7,9 +7,8 @@
 //! classified as slow got no calls for another 3 s.
 
 /// Time after its start, or after a server was full, for which a scheduler assumes that
-/// others exist, in ms: an instance that restarts finds the elected scheduler within 1
-/// s, and the last call that the other one starts until then takes at most another
-/// second.
+/// others exist, in ms: all instances find the new scheduler within 1 s, and a call that
+/// the previous one started until then ends within another second.
 const CONTENTION_MS: u64 = 2_000;
 /// Time without a submission after which a scheduler counts as newly started, in ms.
 const IDLE_RESET_MS: u64 = 1_000;
--- a/crates/core/src/stages/isolation.rs
+++ b/crates/core/src/stages/isolation.rs
@@ -18,24 +18,24 @@
 pub(super) struct CrashCount {
     pub(super) digest: RequestDigest,
     /// Servers that have crashed under it.
-    pub(super) ends: u32,
+    pub(super) crashes: u32,
 }
 
 impl CrashCount {
     pub(super) fn of(request: &Request) -> Self {
         Self {
             digest: request.submission.digest,
-            ends: request.submission.ends,
+            crashes: request.submission.ends,
         }
     }
 
     fn is_suspect(&self) -> bool {
-        self.ends > 0
+        self.crashes > 0
     }
 
     /// Returns the maximum number of suspects in a call that contains this one.
     fn max_suspects(&self, batch_pieces: usize) -> usize {
-        if self.ends >= CRASHES_TO_ISOLATE {
+        if self.crashes >= CRASHES_TO_ISOLATE {
             return 1;
         }
         batch_pieces.isqrt().max(1)
@@ -60,29 +60,29 @@
         }
     }
 
-    /// Returns whether the batch accepts a piece of `request`; `is_begun` tells whether
+    /// Returns whether the batch accepts a piece of the request with `crash_count`; `is_begun` tells whether
     /// the batch holds any piece yet.
-    pub(super) fn accepts(&self, is_begun: bool, request: &CrashCount) -> bool {
-        if !request.is_suspect() {
+    pub(super) fn accepts(&self, is_begun: bool, crash_count: &CrashCount) -> bool {
+        if !crash_count.is_suspect() {
             return self.digests.is_empty();
         }
-        if !is_begun || self.digests.contains(&request.digest) {
+        if !is_begun || self.digests.contains(&crash_count.digest) {
             return true;
         }
         let max_suspects = self
             .max_suspects
-            .min(request.max_suspects(self.batch_pieces));
+            .min(crash_count.max_suspects(self.batch_pieces));
         !self.digests.is_empty() && self.digests.len() < max_suspects
     }
 
-    pub(super) fn add(&mut self, request: &CrashCount) {
-        if !request.is_suspect() || self.digests.contains(&request.digest) {
+    pub(super) fn add(&mut self, crash_count: &CrashCount) {
+        if !crash_count.is_suspect() || self.digests.contains(&crash_count.digest) {
             return;
         }
         self.max_suspects = self
             .max_suspects
-            .min(request.max_suspects(self.batch_pieces));
-        self.digests.push(request.digest);
+            .min(crash_count.max_suspects(self.batch_pieces));
+        self.digests.push(crash_count.digest);
     }
 }
 
@@ -112,19 +112,19 @@
         }
     }
 
-    /// Returns whether a piece of `request` may go into the open batch `index`.
-    pub(super) fn allows(&self, request: &CrashCount, index: usize) -> bool {
-        if !request.is_suspect() {
+    /// Returns whether a piece of the request with `crash_count` may go into the open batch `index`.
+    pub(super) fn allows(&self, crash_count: &CrashCount, index: usize) -> bool {
+        if !crash_count.is_suspect() {
             return true;
         }
-        let assigned = self.assigned.get(&request.digest);
-        !self.running.contains(&request.digest)
+        let assigned = self.assigned.get(&crash_count.digest);
+        !self.running.contains(&crash_count.digest)
             && assigned.is_none_or(|assigned_index| *assigned_index == index)
     }
 
-    pub(super) fn assign(&mut self, request: &CrashCount, index: usize) {
-        if request.is_suspect() {
-            self.assigned.insert(request.digest, index);
+    pub(super) fn assign(&mut self, crash_count: &CrashCount, index: usize) {
+        if crash_count.is_suspect() {
+            self.assigned.insert(crash_count.digest, index);
         }
     }
 }
--- a/crates/core/src/stages/progress.rs
+++ b/crates/core/src/stages/progress.rs
@@ -114,7 +114,7 @@
             all.any(|service| service.servers.contains_key(server))
         };
         let before = request.unfinished_by_stage();
-        let waited = request.waiting_pieces();
+        let previously_waiting = request.waiting_pieces();
         if let Some(piece) = request.piece_state_mut(waiting.piece_id) {
             *piece = PieceState::Blocked;
         }
@@ -123,11 +123,13 @@
         for (stage, (before, after)) in before.into_iter().zip(after).enumerate() {
             let name = &request.submission.stages[stage].service;
             if let Some(service) = self.services.get_mut(name) {
-                let again = after.saturating_sub(before);
-                service.committed.add(request.admission_class, again);
+                let repeated_pieces = after.saturating_sub(before);
+                service
+                    .committed
+                    .add(request.admission_class, repeated_pieces);
             }
         }
-        for piece_id in waited {
+        for piece_id in previously_waiting {
             let name = &request.submission.stages[piece_id.stage].service;
             if request.piece_state(piece_id) != Some(&PieceState::Waiting)
                 && let Some(service) = self.services.get_mut(name)
--- a/crates/core/src/stages/request.rs
+++ b/crates/core/src/stages/request.rs
@@ -376,8 +376,8 @@
             _ => false,
         };
         let lost: Vec<PieceId> = inputs.iter().copied().filter(is_lost).collect();
-        let mut again = if lost.is_empty() { inputs } else { lost };
-        while let Some(piece_id) = again.pop() {
+        let mut to_repeat = if lost.is_empty() { inputs } else { lost };
+        while let Some(piece_id) = to_repeat.pop() {
             let Some(piece) = self.piece_state_mut(piece_id) else {
                 continue;
             };
@@ -386,7 +386,7 @@
             }
             *piece = PieceState::Blocked;
             let needed = self.input_pieces(piece_id.stage).into_iter();
-            again.extend(
+            to_repeat.extend(
                 needed.filter(|needed| self.piece_state(*needed) == Some(&PieceState::Freed)),
             );
         }
--- a/crates/core/src/stages/scheduler.rs
+++ b/crates/core/src/stages/scheduler.rs
@@ -79,9 +79,9 @@
     pub(super) results: ResultTable,
     /// Stages whose inputs are being fetched, by the time of their release.
     pub(super) pending_fetches: VecDeque<PendingFetch>,
-    pub(super) last_call: u64,
+    pub(super) last_call_number: u64,
     /// Number of the last request.
-    last_request: u64,
+    last_request_number: u64,
     /// Time before which no request is dropped, in ms. It may be too early, as requests
     /// that have ended since still count.
     pub(super) earliest_drop_ms: Option<u64>,
@@ -111,16 +111,18 @@
             let batching = service.batching?;
             Some((service.name.clone(), batching))
         };
-        let wanted: BTreeMap<PoolName, _> = config.services.iter().filter_map(batched).collect();
-        self.services.retain(|name, _| wanted.contains_key(name));
-        for (name, batching) in wanted {
+        let configured: BTreeMap<PoolName, _> =
+            config.services.iter().filter_map(batched).collect();
+        self.services
+            .retain(|name, _| configured.contains_key(name));
+        for (name, batching) in configured {
             let service = self
                 .services
                 .entry(name)
                 .or_insert_with(|| StageService::new(batching));
             service.batching = batching;
         }
-        let mut known: BTreeMap<PoolName, Vec<BackendName>> = BTreeMap::new();
+        let mut registered_by_service: BTreeMap<PoolName, Vec<BackendName>> = BTreeMap::new();
         for entry in servers {
             let Some(service) = self.services.get_mut(&entry.service) else {
                 continue;
@@ -131,13 +133,13 @@
                 .or_insert_with(|| Server::new(entry.zone.clone(), entry.addr));
             server.is_excluded =
                 entry.state == ServerState::Leaving || evacuated.contains(&entry.zone);
-            known
+            registered_by_service
                 .entry(entry.service.clone())
                 .or_default()
                 .push(entry.id.clone());
         }
         for (name, service) in &mut self.services {
-            let registered = known.remove(name).unwrap_or_default();
+            let registered = registered_by_service.remove(name).unwrap_or_default();
             service.servers.retain(|id, _| registered.contains(id));
         }
     }
@@ -172,10 +174,10 @@
         let key = submission.key.clone();
         let rest_ms = self.rest_ms(&submission);
         self.record_inherited_results(now_ms, &submission);
-        self.last_request += 1;
+        self.last_request_number += 1;
         let request = Request::new(
             now_ms,
-            self.last_request,
+            self.last_request_number,
             submission,
             rest_ms,
             admission_class,
--- a/crates/core/src/stages/selection.rs
+++ b/crates/core/src/stages/selection.rs
@@ -7,7 +7,7 @@
 //!
 //! Many schedulers do: after a power loss, hundreds of instances restart within the
 //! same second while their callers wait. An instance that schedules for itself until it
-//! finds the elected one keeps servers busy for as long as its requests last; with 295
+//! finds the selected one keeps servers busy for as long as its requests last; with 295
 //! instances that took six seconds. A starting instance therefore uses no scheduler
 //! before one has responded, and gives candidates further ahead in the list time to
 //! start.
@@ -100,19 +100,20 @@
 impl SchedulerSelector {
     /// Replaces the list of candidates, keeping the state of those that remain.
     pub fn set_candidates(&mut self, candidates: Vec<Candidate>) {
-        let strongest = candidates
-            .iter()
-            .fold(0.0, |most: f64, c| most.max(c.cores));
-        let mut earlier = std::mem::take(&mut self.candidates);
-        let mut known = |candidate: &Candidate| {
-            let same = |(old, _): &(Candidate, CandidateState)| old.instance == candidate.instance;
-            let index = earlier.iter().position(same)?;
-            Some(earlier.swap_remove(index).1)
+        let strongest = candidates.iter().fold(0.0, |max_cores: f64, candidate| {
+            max_cores.max(candidate.cores)
+        });
+        let mut previous = std::mem::take(&mut self.candidates);
+        let mut previous_state = |candidate: &Candidate| {
+            let is_same =
+                |(old, _): &(Candidate, CandidateState)| old.instance == candidate.instance;
+            let index = previous.iter().position(is_same)?;
+            Some(previous.swap_remove(index).1)
         };
         let mut listed: Vec<(Candidate, CandidateState)> = candidates
             .into_iter()
             .map(|candidate| {
-                let state = known(&candidate).unwrap_or_default();
+                let state = previous_state(&candidate).unwrap_or_default();
                 (candidate, state)
             })
             .collect();
@@ -130,7 +131,7 @@
         Some(&candidate.instance)
     }
 
-    /// Returns the elected scheduler: the first candidate that has responded, once
+    /// Returns the selected scheduler: the first candidate that has responded, once
     /// those ahead of it have had time to start.
     pub fn settled(&self, now_ms: u64) -> Option<&InstanceName> {
         let has_answered = |state: &CandidateState| {
@@ -141,8 +142,8 @@
         };
         let mut candidates = self.candidates.iter();
         let first = candidates.position(|(_, state)| has_answered(state))?;
-        let mut earlier = self.candidates[..first].iter();
-        let may_come_up = earlier.any(|(_, state)| {
+        let mut candidates_ahead = self.candidates[..first].iter();
+        let may_come_up = candidates_ahead.any(|(_, state)| {
             matches!(
                 state,
                 CandidateState::Unknown(_) | CandidateState::Unreachable { .. }
@@ -219,8 +220,8 @@
     /// Returns whether an instance counts as unreachable.
     pub fn is_unreachable(&self, instance: &InstanceName) -> bool {
         let mut candidates = self.candidates.iter();
-        candidates.any(|(c, state)| {
-            c.instance == *instance && matches!(state, CandidateState::Unreachable { .. })
+        candidates.any(|(candidate, state)| {
+            candidate.instance == *instance && matches!(state, CandidateState::Unreachable { .. })
         })
     }
 
@@ -268,7 +269,8 @@
         change: impl FnOnce(CandidateState) -> CandidateState,
     ) {
         let mut candidates = self.candidates.iter_mut();
-        if let Some((_, state)) = candidates.find(|(c, _)| c.instance == *instance) {
+        if let Some((_, state)) = candidates.find(|(candidate, _)| candidate.instance == *instance)
+        {
             *state = change(*state);
         }
     }
--- a/crates/core/src/stages/server.rs
+++ b/crates/core/src/stages/server.rs
@@ -37,7 +37,7 @@
     pub(super) addr: SocketAddr,
     pub(super) is_excluded: bool,
     /// Running calls of this scheduler.
-    pub(super) calls: u32,
+    pub(super) running_calls: u32,
     /// Memory used by the results of this scheduler, in bytes.
     pub(super) used_memory_bytes: u64,
     /// Reduced memory limit in bytes, and its expiry in ms. It applies while results of
@@ -65,7 +65,7 @@
             zone,
             addr,
             is_excluded: false,
-            calls: 0,
+            running_calls: 0,
             used_memory_bytes: 0,
             memory_limit: None,
             consecutive_full: 0,
@@ -85,7 +85,7 @@
 
     /// Returns whether it can start a call now.
     pub(super) fn is_idle(&self, now_ms: u64) -> bool {
-        self.is_available(now_ms) && self.calls == 0 && now_ms >= self.earliest_call_ms()
+        self.is_available(now_ms) && self.running_calls == 0 && now_ms >= self.earliest_call_ms()
     }
 
     /// Returns the calls it completes per ms, if each takes `call_ms`.
--- a/crates/core/src/stages/service.rs
+++ b/crates/core/src/stages/service.rs
@@ -20,10 +20,10 @@
 
 /// Returns the part of a server's `room_bytes` that may be used for results of about
 /// `result_bytes` each.
-pub(super) fn usable_memory_bytes(room_bytes: u64, result_bytes: u64) -> u64 {
-    let spare = MEMORY_RESERVE_FACTOR * (room_bytes as f64 * result_bytes as f64).sqrt();
-    let usable = room_bytes.saturating_sub(spare as u64);
-    usable.max(result_bytes.min(room_bytes))
+pub(super) fn usable_memory_bytes(memory_bytes: u64, result_bytes: u64) -> u64 {
+    let reserve = MEMORY_RESERVE_FACTOR * (memory_bytes as f64 * result_bytes as f64).sqrt();
+    let usable_bytes = memory_bytes.saturating_sub(reserve as u64);
+    usable_bytes.max(result_bytes.min(memory_bytes))
 }
 
 /// The class in which a request was admitted.
@@ -156,41 +156,41 @@
 
     /// Returns the pieces that its servers complete per ms with full batches.
     pub(super) fn rate_per_ms(&self, now_ms: u64) -> f64 {
-        let full = self.batching.batch_pieces;
-        let call_ms = self.batching.duration_ms(full);
-        let open = self
+        let batch_pieces = self.batching.batch_pieces;
+        let call_ms = self.batching.duration_ms(batch_pieces);
+        let available = self
             .servers
             .values()
             .filter(|server| server.is_available(now_ms));
-        let calls_per_ms: f64 = open.map(|server| server.calls_per_ms(call_ms)).sum();
-        full as f64 * calls_per_ms
+        let calls_per_ms: f64 = available.map(|server| server.calls_per_ms(call_ms)).sum();
+        batch_pieces as f64 * calls_per_ms
     }
 
     /// Returns the time in which its servers complete `pieces` with full batches, in
     /// ms. Servers that back off join once their backoff ends. Returns `None` if no
     /// server accepts work by then.
     pub(super) fn drain_ms(&self, now_ms: u64, pieces: f64) -> Option<f64> {
-        let full = self.batching.batch_pieces;
-        let call_ms = self.batching.duration_ms(full);
+        let batch_pieces = self.batching.batch_pieces;
+        let call_ms = self.batching.duration_ms(batch_pieces);
         let mut rate = self.rate_per_ms(now_ms);
         let backing_off = self.backing_off(now_ms);
         let mut joining: Vec<(u64, f64)> = backing_off
-            .map(|(left_ms, server)| (left_ms, full as f64 * server.calls_per_ms(call_ms)))
+            .map(|(left_ms, server)| (left_ms, batch_pieces as f64 * server.calls_per_ms(call_ms)))
             .collect();
         joining.sort_by_key(|(left_ms, _)| *left_ms);
-        let mut left = pieces;
+        let mut remaining_pieces = pieces;
         let mut at_ms = 0.0;
         for (joins_in_ms, joining_rate) in joining {
             let until_ms = joins_in_ms as f64;
             let done = rate * (until_ms - at_ms);
-            if done >= left {
+            if done >= remaining_pieces {
                 break;
             }
-            left -= done;
+            remaining_pieces -= done;
             at_ms = until_ms;
             rate += joining_rate;
         }
-        (rate > 0.0).then(|| at_ms + left / rate)
+        (rate > 0.0).then(|| at_ms + remaining_pieces / rate)
     }
 
     /// Returns the time until a server accepts work, in ms: 0 if one does now, `None`
