--- a/crates/core/src/stages.rs
+++ b/crates/core/src/stages.rs
@@ -8,8 +8,9 @@
 mod admission;
 mod batch;
 mod calls;
+mod choice;
 mod contention;
-mod early_release;
+mod fetched;
 mod handover;
 mod isolation;
 mod progress;
@@ -17,13 +18,12 @@
 mod request;
 mod results;
 mod scheduler;
-mod selection;
 mod server;
 mod service;
 mod types;
 
+pub use choice::{Candidate, SchedulerSelector};
 pub use scheduler::{CallOutcome, ItemOutcome, StageScheduler};
-pub use selection::{Candidate, SchedulerSelector};
 pub use types::{
     CallId, CallItem, DonePiece, ItemInput, Refusal, RequestKey, ResultRef, StageAction, StageCall,
     StageOutcome, StageWork, Submission,
--- a/crates/core/src/stages/batch.rs
+++ b/crates/core/src/stages/batch.rs
@@ -45,7 +45,8 @@
         })
     };
     let first = service.queue.iter();
-    let first = first.take_while(|(key, _)| !key.is_late && key.sort_ms <= last_ms);
+    let first =
+        first.take_while(|(queue_key, _)| !queue_key.is_late && queue_key.sort_ms <= last_ms);
     let late = first.map(|(_, waiting)| waiting).filter(is_late);
     late.map(|waiting| waiting.key.clone()).collect()
 }
--- a/crates/core/src/stages/isolation.rs
+++ b/crates/core/src/stages/isolation.rs
@@ -34,7 +34,7 @@
     }
 
     /// Returns the maximum number of suspects in a call that contains this one.
-    fn max_suspects(&self, batch_pieces: usize) -> usize {
+    fn max_group_size(&self, batch_pieces: usize) -> usize {
         if self.crashes >= CRASHES_TO_ISOLATE {
             return 1;
         }
@@ -71,7 +71,7 @@
         }
         let max_suspects = self
             .max_suspects
-            .min(crash_count.max_suspects(self.batch_pieces));
+            .min(crash_count.max_group_size(self.batch_pieces));
         !self.digests.is_empty() && self.digests.len() < max_suspects
     }
 
@@ -81,7 +81,7 @@
         }
         self.max_suspects = self
             .max_suspects
-            .min(crash_count.max_suspects(self.batch_pieces));
+            .min(crash_count.max_group_size(self.batch_pieces));
         self.digests.push(crash_count.digest);
     }
 }
--- a/crates/core/src/stages/queue.rs
+++ b/crates/core/src/stages/queue.rs
@@ -42,13 +42,13 @@
 }
 
 impl Queue {
-    pub(super) fn add(&mut self, key: QueueKey, waiting: WaitingPiece) {
+    pub(super) fn add(&mut self, queue_key: QueueKey, waiting: WaitingPiece) {
         self.total_added += 1;
-        self.pieces.insert(key, waiting);
+        self.pieces.insert(queue_key, waiting);
     }
 
-    pub(super) fn take(&mut self, key: &QueueKey) -> Option<WaitingPiece> {
-        self.pieces.remove(key)
+    pub(super) fn take(&mut self, queue_key: &QueueKey) -> Option<WaitingPiece> {
+        self.pieces.remove(queue_key)
     }
 
     pub(super) fn clear(&mut self) {
--- a/crates/core/src/stages/scheduler.rs
+++ b/crates/core/src/stages/scheduler.rs
@@ -7,7 +7,7 @@
     batch,
     calls::RunningCall,
     contention::Contention,
-    early_release::PendingFetch,
+    fetched::PendingFetch,
     request::Request,
     results::ResultTable,
     server::Server,
--- a/crates/core/tests/stages_choice_fleet.rs
+++ b/crates/core/tests/stages_choice_fleet.rs
@@ -29,8 +29,8 @@
 }
 
 impl World {
-    /// Starts `count` instances within 300 ms of each other, except for `gone` that
-    /// never start and `late` that start up to two seconds later.
+    /// Starts `count` instances within 300 ms of each other, except for `removed` that
+    /// never start and `late_starters` that start up to two seconds later.
     fn new(seed: u64, count: usize, removed: usize, late_starters: usize) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let names: Vec<InstanceName> = (0..count)
