--- a/crates/core/src/stages/calls.rs
+++ b/crates/core/src/stages/calls.rs
@@ -42,12 +42,12 @@
 
 impl StageScheduler {
     /// Handles the end of a call.
-    pub fn on_call_ended(&mut self, now_ms: u64, id: CallId, end: &CallOutcome) {
+    pub fn on_call_ended(&mut self, now_ms: u64, id: CallId, outcome: &CallOutcome) {
         let Some(call) = self.calls.remove(&id) else {
             return;
         };
         let elapsed_ms = now_ms.saturating_sub(call.started_at_ms) as f64;
-        if *end == CallOutcome::Full {
+        if *outcome == CallOutcome::Full {
             self.contention.on_contention_sign(now_ms);
         }
         if call.was_checked_late(now_ms) {
@@ -59,10 +59,10 @@
         }
         if let Some(server) = self.server_mut(&call) {
             server.running_calls = server.running_calls.saturating_sub(1);
-            if matches!(end, CallOutcome::Answered(_)) {
+            if matches!(outcome, CallOutcome::Answered(_)) {
                 server.on_accepted();
             }
-            match end {
+            match outcome {
                 // Under contention the duration does not reflect the server's speed.
                 CallOutcome::Answered(_) if !is_sole_scheduler => {}
                 CallOutcome::Answered(_) => {
@@ -82,7 +82,7 @@
         if let Some(service) = self.services.get_mut(&call.service) {
             service.use_slow_if_no_other(now_ms);
         }
-        match end {
+        match outcome {
             CallOutcome::Answered(items) => {
                 for (index, waiting) in call.pieces.iter().enumerate() {
                     let item = items.get(index).unwrap_or(&ItemOutcome::Failed);
@@ -99,7 +99,7 @@
                 }
             }
             CallOutcome::Lost | CallOutcome::ServerEnded(_) => {
-                if let CallOutcome::ServerEnded(crash_counts) = end {
+                if let CallOutcome::ServerEnded(crash_counts) = outcome {
                     self.on_crashes(now_ms, crash_counts);
                 }
                 for waiting in &call.pieces {
@@ -197,11 +197,11 @@
         id: CallId,
         call: &RunningCall,
         waiting: &WaitingPiece,
-        end: &ItemOutcome,
+        outcome: &ItemOutcome,
     ) {
-        let ItemOutcome::Done(handle) = end else {
+        let ItemOutcome::Done(handle) = outcome else {
             self.release_memory(call, waiting);
-            match end {
+            match outcome {
                 ItemOutcome::Late => self.refuse(now_ms, &waiting.key, Refusal::TooLate),
                 ItemOutcome::InputGone => self.regenerate_inputs(now_ms, id, waiting),
                 ItemOutcome::NoRoom => {
--- a/crates/core/src/stages/scheduler.rs
+++ b/crates/core/src/stages/scheduler.rs
@@ -244,7 +244,7 @@
 
     /// Returns the time of the next poll that is due without any other event.
     pub fn next_poll_ms(&self, now_ms: u64) -> Option<u64> {
-        let waited_for = self
+        let dispatch_retry = self
             .services
             .values()
             .filter(|service| !service.queue.is_empty() && service.idle_servers(now_ms) > 0)
@@ -262,7 +262,7 @@
             .map(|call| call.overdue_at_ms());
         let fetched = self.pending_fetches.front().map(|next| next.done_at_ms);
         let due = paused.chain(overdue).chain(self.earliest_drop_ms);
-        let due = due.chain(waited_for).chain(fetched);
+        let due = due.chain(dispatch_retry).chain(fetched);
         due.chain(self.results.next_expiry_ms()).min()
     }
 
