--- a/crates/core/src/stages/admission.rs
+++ b/crates/core/src/stages/admission.rs
@@ -156,8 +156,8 @@
         return 0.0;
     }
     let available = service.available_servers(now_ms).max(1);
-    let half = service.batching.batch_pieces / 2;
-    service.batching.duration_ms(half) / (available + 1) as f64
+    let half_batch_pieces = service.batching.batch_pieces / 2;
+    service.batching.duration_ms(half_batch_pieces) / (available + 1) as f64
 }
 
 /// Tracks the current run of refusals.
--- a/crates/core/src/stages/batch.rs
+++ b/crates/core/src/stages/batch.rs
@@ -60,8 +60,8 @@
     mut isolation: Isolation,
 ) -> Vec<Batch> {
     let mut open = OpenBatches::new(now_ms, service);
-    let half = service.batching.batch_pieces / 2;
-    let half_batch_ms = service.batching.duration_ms(half) as u64;
+    let half_batch_pieces = service.batching.batch_pieces / 2;
+    let half_batch_ms = service.batching.duration_ms(half_batch_pieces) as u64;
     let mut assigned: Vec<QueueKey> = Vec::new();
     for (queue_key, waiting) in service.queue.iter() {
         if open.are_full() {
--- a/crates/core/src/stages/results.rs
+++ b/crates/core/src/stages/results.rs
@@ -44,11 +44,11 @@
 
     /// Returns the time of the next expiry, in ms.
     pub(super) fn next_expiry_ms(&self) -> Option<u64> {
-        let mut result = self
+        let mut results = self
             .by_age
             .iter()
             .filter_map(|handle| self.by_handle.get(handle));
-        result.next().map(|result| result.expires_at_ms)
+        results.next().map(|result| result.expires_at_ms)
     }
 
     /// Removes and returns the results that have expired by now.
