--- a/crates/core/src/stages/handover.rs
+++ b/crates/core/src/stages/handover.rs
@@ -1,20 +1,20 @@
-//! Hands requests over to another scheduler, with what is done of them.
+//! Hands requests over to another scheduler, together with their completed pieces.
 //!
-//! Two schedulers that share the servers make each call take twice its time, so
-//! one that is replaced begins no more calls.
+//! Calls take twice as long while two schedulers share the servers, so a scheduler that
+//! is replaced starts no more calls.
 
 use super::{
     progress::uncommit,
     scheduler::StageScheduler,
-    work::{RequestKey, StageAction, StageOutcome},
+    types::{RequestKey, StageAction, StageOutcome},
 };
 use crate::ids::InstanceName;
 
 impl StageScheduler {
-    /// Hands every request that is not finished over to the scheduler `to`, as
-    /// soon as none of its pieces is at work.
+    /// Hands all unfinished requests over to the scheduler `to`, each as soon as none
+    /// of its pieces is running.
     pub fn hand_over(&mut self, now_ms: u64, to: Option<&InstanceName>) {
-        self.contention.on_sign_of_others(now_ms);
+        self.contention.on_contention_sign(now_ms);
         self.is_handing_over = true;
         self.successor = to.cloned();
         for service in self.services.values_mut() {
@@ -23,11 +23,11 @@
         for request in self.requests.values_mut() {
             request.is_moving = !request.is_finished;
         }
-        self.move_idle();
+        self.hand_over_idle();
     }
 
-    /// Hands over the requests that are to be and have no piece at work.
-    pub(super) fn move_idle(&mut self) {
+    /// Hands over the pending requests that have no running piece.
+    pub(super) fn hand_over_idle(&mut self) {
         if !self.is_handing_over {
             return;
         }
@@ -44,9 +44,9 @@
                 continue;
             };
             uncommit(&mut self.services, &request);
-            // Their servers keep the results for the one that takes over.
+            // The servers keep the results for the successor.
             let outcome = StageOutcome::Moved {
-                done: request.done(),
+                done: request.done_pieces(),
                 to: self.successor.clone(),
             };
             self.actions.push(StageAction::Finish { key, outcome });
--- a/crates/core/src/stages/isolation.rs
+++ b/crates/core/src/stages/isolation.rs
@@ -1,124 +1,130 @@
-//! Keeps the pieces of suspects apart from those of other requests, so that a call that
-//! ends its server blames few, and the next one fewer.
+//! Isolates the pieces of suspects (requests under which a server has crashed) from
+//! those of other requests, so that each further crash implicates fewer requests.
 //!
-//! The load that it answers: a piece that ends its server is called together with up to
-//! 82 others, which are sent again with it. All would be blamed together three times and
-//! refused. After the first end its pieces go in calls of suspects only, each with at
-//! most the root of a batch of requests; after the second, alone. So one of 82 is found
-//! with 9 calls and then 9 more at most, and no other has more than two ends from it.
+//! A piece that crashes its server shares a call with up to 82 others, which are
+//! repeated together with it. Without isolation all of them would be implicated three
+//! times and refused. After the first crash, pieces go into calls of suspects only,
+//! with at most the square root of a batch of requests each; after the second, each
+//! request is called alone. One of 82 is thus found with 9 calls and then at most 9
+//! more, and no other request is implicated in more than two crashes.
 
 use std::collections::{HashMap, HashSet};
 
-use super::{calls::RunningCall, request::Request, work::RequestKey};
+use super::{calls::RunningCall, request::Request, types::RequestKey};
 use crate::poison::{CRASHES_TO_ISOLATE, RequestDigest};
 
-/// A request as far as it is a suspect.
+/// The number of crashes attributed to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Suspicion {
+pub(super) struct CrashCount {
     pub(super) digest: RequestDigest,
-    /// Servers that have ended under it.
-    pub(super) ends: u32,
+    /// Servers that have crashed under it.
+    pub(super) crashes: u32,
 }
 
-impl Suspicion {
+impl CrashCount {
     pub(super) fn of(request: &Request) -> Self {
         Self {
             digest: request.submission.digest,
-            ends: request.submission.ends,
+            crashes: request.submission.ends,
         }
     }
 
     fn is_suspect(&self) -> bool {
-        self.ends > 0
+        self.crashes > 0
     }
 
-    /// Returns how many suspects one call may have that has this one.
-    fn most_beside(&self, batch_pieces: usize) -> usize {
-        if self.ends >= CRASHES_TO_ISOLATE {
+    /// Returns the maximum number of suspects in a call that contains this one.
+    fn max_group_size(&self, batch_pieces: usize) -> usize {
+        if self.crashes >= CRASHES_TO_ISOLATE {
             return 1;
         }
         batch_pieces.isqrt().max(1)
     }
 }
 
-/// The suspects of one call that is being filled.
+/// The suspects in one open batch.
 #[derive(Debug)]
-pub(super) struct Company {
+pub(super) struct SuspectGroup {
     batch_pieces: usize,
     digests: Vec<RequestDigest>,
-    /// How many there may be, by the most suspect of them.
-    most: usize,
+    /// Maximum number of suspects, set by the one with the most crashes.
+    max_suspects: usize,
 }
 
-impl Company {
+impl SuspectGroup {
     pub(super) fn new(batch_pieces: usize) -> Self {
         Self {
             batch_pieces,
             digests: Vec::new(),
-            most: batch_pieces,
+            max_suspects: batch_pieces,
         }
     }
 
-    /// Tells whether a call with this company, and with any piece yet if `is_begun`,
-    /// takes a piece of `request`.
-    pub(super) fn takes(&self, is_begun: bool, request: &Suspicion) -> bool {
-        if !request.is_suspect() {
+    /// Returns whether the batch accepts a piece of the request that `crash_count`
+    /// belongs to; `is_begun` tells whether the batch holds any piece yet.
+    pub(super) fn accepts(&self, is_begun: bool, crash_count: &CrashCount) -> bool {
+        if !crash_count.is_suspect() {
             return self.digests.is_empty();
         }
-        if !is_begun || self.digests.contains(&request.digest) {
+        if !is_begun || self.digests.contains(&crash_count.digest) {
             return true;
         }
-        let most = self.most.min(request.most_beside(self.batch_pieces));
-        !self.digests.is_empty() && self.digests.len() < most
+        let max_suspects = self
+            .max_suspects
+            .min(crash_count.max_group_size(self.batch_pieces));
+        !self.digests.is_empty() && self.digests.len() < max_suspects
     }
 
-    pub(super) fn add(&mut self, request: &Suspicion) {
-        if !request.is_suspect() || self.digests.contains(&request.digest) {
+    pub(super) fn add(&mut self, crash_count: &CrashCount) {
+        if !crash_count.is_suspect() || self.digests.contains(&crash_count.digest) {
             return;
         }
-        self.most = self.most.min(request.most_beside(self.batch_pieces));
-        self.digests.push(request.digest);
+        self.max_suspects = self
+            .max_suspects
+            .min(crash_count.max_group_size(self.batch_pieces));
+        self.digests.push(crash_count.digest);
     }
 }
 
-/// Which suspects have pieces at work, or in a call that is being filled: those of one
-/// request are in one call at a time, else each could end a server.
+/// Tracks which suspects have running pieces or are assigned to an open batch. Pieces
+/// of one suspect run in one call at a time, as each call could crash a server.
 #[derive(Debug, Default)]
 pub(super) struct Isolation {
-    at_work: HashSet<RequestDigest>,
-    placed: HashMap<RequestDigest, usize>,
+    running: HashSet<RequestDigest>,
+    assigned: HashMap<RequestDigest, usize>,
 }
 
 impl Isolation {
-    /// Looks for the suspects among the requests that have pieces at work.
+    /// Collects the suspects among the requests with running pieces.
     pub(super) fn new<'a>(
         calls: impl IntoIterator<Item = &'a RunningCall>,
         requests: &HashMap<RequestKey, Request>,
     ) -> Self {
         let pieces = calls.into_iter().flat_map(|call| &call.pieces);
-        let at_work = pieces
+        let running = pieces
             .filter_map(|waiting| requests.get(&waiting.key))
-            .map(Suspicion::of)
-            .filter(Suspicion::is_suspect)
+            .map(CrashCount::of)
+            .filter(CrashCount::is_suspect)
             .map(|suspect| suspect.digest);
         Self {
-            at_work: at_work.collect(),
-            placed: HashMap::new(),
+            running: running.collect(),
+            assigned: HashMap::new(),
         }
     }
 
-    /// Tells whether a piece of `request` may go into the call `index`.
-    pub(super) fn allows(&self, request: &Suspicion, index: usize) -> bool {
-        if !request.is_suspect() {
+    /// Returns whether a piece of that request may go into the open batch `index`.
+    pub(super) fn allows(&self, crash_count: &CrashCount, index: usize) -> bool {
+        if !crash_count.is_suspect() {
             return true;
         }
-        let placed = self.placed.get(&request.digest);
-        !self.at_work.contains(&request.digest) && placed.is_none_or(|at| *at == index)
+        let assigned = self.assigned.get(&crash_count.digest);
+        !self.running.contains(&crash_count.digest)
+            && assigned.is_none_or(|assigned_index| *assigned_index == index)
     }
 
-    pub(super) fn place(&mut self, request: &Suspicion, index: usize) {
-        if request.is_suspect() {
-            self.placed.insert(request.digest, index);
+    pub(super) fn assign(&mut self, crash_count: &CrashCount, index: usize) {
+        if crash_count.is_suspect() {
+            self.assigned.insert(crash_count.digest, index);
         }
     }
 }
--- a/crates/core/src/stages/request.rs
+++ b/crates/core/src/stages/request.rs
@@ -1,75 +1,74 @@
-//! The stages of one request: what is done, what can be done next.
+//! The stages of one request: which pieces are completed and which can run next.
 
 use std::collections::HashSet;
 
 use super::{
     CallId, Submission,
-    queue::QueueOrder,
-    service::Taken,
-    work::{DonePiece, ResultRef},
+    queue::QueueKey,
+    service::AdmissionClass,
+    types::{DonePiece, ResultRef},
 };
 use crate::ids::{BackendName, ZoneName};
 
-/// Time by which the pieces of a request of one rank less go later than they
-/// have to, in ms: half of a call, so that among requests that came together
-/// the more urgent fill the next call.
-const RANK_MS: u64 = 150;
-/// Most such time, in ms: ranks below the fourth are not told apart.
-pub(super) const MOST_RANK_MS: u64 = 4 * RANK_MS;
+/// Delay of the latest start time per rank, in ms: half of a call, so that among
+/// requests that arrived together the more urgent ones fill the next call.
+const RANK_DELAY_MS: u64 = 150;
+/// Maximum delay, in ms. Ranks from the fourth on are treated alike.
+pub(super) const MAX_RANK_DELAY_MS: u64 = 4 * RANK_DELAY_MS;
 
-/// Where one piece stands.
+/// The state of one piece.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Piece {
-    /// Results that it needs are missing.
+pub(super) enum PieceState {
+    /// Some of its inputs are missing.
     Blocked,
     /// It waits for a backend server.
     Waiting,
     /// It is part of a call.
     Running(CallId),
-    /// Its result is kept by a server.
+    /// It is completed, and a server stores its result.
     Done {
-        /// The server.
+        /// Server that stores the result.
         server: BackendName,
-        /// The result.
+        /// Reference to the result.
         result: ResultRef,
     },
-    /// Its result was there and is not needed any more.
+    /// It is completed, and its result has been released.
     Freed,
 }
 
-/// Names one piece of a request.
+/// Identifies one piece of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(super) struct PieceAt {
+pub(super) struct PieceId {
     pub(super) stage: usize,
     pub(super) piece: u32,
 }
 
-/// One request and how far its stages are.
+/// A request and the progress of its stages.
 #[derive(Debug)]
 pub(super) struct Request {
     pub(super) submission: Submission,
-    /// Number of the request, in the order of arrival.
+    /// Arrival number of the request.
     pub(super) number: u64,
-    /// Time by which its answer should begin, in ms.
+    /// Time by which the response should begin, in ms.
     pub(super) goal_at_ms: u64,
-    /// Time at which its caller gives up, in ms.
+    /// Time at which the caller gives up, in ms.
     pub(super) deadline_at_ms: u64,
-    /// Time that follows each stage until the answer begins, in ms.
+    /// Time from the end of each stage until the response begins, in ms.
     pub(super) rest_ms: Vec<u64>,
     /// Pieces of each stage.
-    pub(super) pieces: Vec<Vec<Piece>>,
-    /// Zone in which the results of its middle stages are collected.
-    pub(super) zone: Option<ZoneName>,
-    /// Pieces that were sent again after a failure.
+    pub(super) pieces: Vec<Vec<PieceState>>,
+    /// Availability zone in which the results of intermediate stages are collected.
+    pub(super) intermediate_zone: Option<ZoneName>,
+    /// Pieces repeated after a failure.
     pub(super) repeats: u32,
-    /// How it was taken.
-    pub(super) taken: Taken,
-    /// Whether it can't make its goal any more; it is done with what the others
-    /// leave, and nobody waits for it.
+    /// The class in which it was admitted.
+    pub(super) admission_class: AdmissionClass,
+    /// Whether it can no longer make its goal. Late requests only use capacity that the
+    /// others leave.
     pub(super) is_late: bool,
-    /// Whether it is handed over as soon as none of its pieces is at work.
+    /// Whether it is handed over as soon as none of its pieces is running.
     pub(super) is_moving: bool,
-    /// Whether whoever submitted it was told how it ended.
+    /// Whether the submitter was notified of the outcome.
     pub(super) is_finished: bool,
 }
 
@@ -79,124 +78,124 @@
         number: u64,
         submission: Submission,
         rest_ms: Vec<u64>,
-        taken: Taken,
+        admission_class: AdmissionClass,
     ) -> Self {
-        let mut pieces: Vec<Vec<Piece>> = submission
+        let mut pieces: Vec<Vec<PieceState>> = submission
             .stages
             .iter()
-            .map(|stage| vec![Piece::Blocked; stage.pieces as usize])
+            .map(|stage| vec![PieceState::Blocked; stage.pieces as usize])
             .collect();
         for done in &submission.done {
             let stage = pieces.get_mut(done.stage);
             let piece = stage.and_then(|stage| stage.get_mut(done.piece as usize));
             if let Some(piece) = piece {
                 *piece = match &done.kept {
-                    Some((server, result)) => Piece::Done {
+                    Some((server, result)) => PieceState::Done {
                         server: server.clone(),
                         result: result.clone(),
                     },
-                    None => Piece::Freed,
+                    None => PieceState::Freed,
                 };
             }
         }
         Self {
             goal_at_ms: now_ms + submission.goal_left_ms,
             deadline_at_ms: now_ms + submission.deadline_left_ms,
-            zone: None,
+            intermediate_zone: None,
             rest_ms,
             pieces,
             submission,
             number,
             repeats: 0,
-            taken,
+            admission_class,
             is_moving: false,
-            is_late: taken == Taken::Late,
+            is_late: admission_class == AdmissionClass::Late,
             is_finished: false,
         }
     }
 
-    /// Returns where a piece stands in its queue.
-    pub(super) fn order(&self, at: PieceAt) -> QueueOrder {
-        let rank_ms = u64::from(self.submission.priority) * RANK_MS;
-        let begin_by_ms =
-            (self.goal_at_ms + rank_ms.min(MOST_RANK_MS)).saturating_sub(self.rest_ms[at.stage]);
-        QueueOrder {
+    /// Returns the sort key of a piece in its queue.
+    pub(super) fn queue_key(&self, piece_id: PieceId) -> QueueKey {
+        let rank_delay_ms = u64::from(self.submission.priority) * RANK_DELAY_MS;
+        let latest_start_ms = (self.goal_at_ms + rank_delay_ms.min(MAX_RANK_DELAY_MS))
+            .saturating_sub(self.rest_ms[piece_id.stage]);
+        QueueKey {
             is_late: self.is_late,
-            time_ms: if self.is_late {
+            sort_ms: if self.is_late {
                 self.deadline_at_ms
             } else {
-                begin_by_ms
+                latest_start_ms
             },
-            request: self.number,
-            at,
+            request_number: self.number,
+            piece_id,
         }
     }
 
     /// Returns the pieces that wait for a server.
-    pub(super) fn waiting(&self) -> Vec<PieceAt> {
+    pub(super) fn waiting_pieces(&self) -> Vec<PieceId> {
         let mut waiting = Vec::new();
         for (stage, pieces) in self.pieces.iter().enumerate() {
             for (piece, state) in pieces.iter().enumerate() {
-                if *state == Piece::Waiting {
+                if *state == PieceState::Waiting {
                     let piece = piece as u32;
-                    waiting.push(PieceAt { stage, piece });
+                    waiting.push(PieceId { stage, piece });
                 }
             }
         }
         waiting
     }
 
-    /// Makes pieces wait whose results are all there, and names them.
-    pub(super) fn unblock(&mut self) -> Vec<PieceAt> {
+    /// Marks the pieces whose inputs are complete as waiting, and returns them.
+    pub(super) fn unblock(&mut self) -> Vec<PieceId> {
         let mut ready = Vec::new();
         for stage in 0..self.pieces.len() {
             if !self.has_inputs(stage) {
                 continue;
             }
             for (piece, state) in self.pieces[stage].iter_mut().enumerate() {
-                if *state == Piece::Blocked {
-                    *state = Piece::Waiting;
+                if *state == PieceState::Blocked {
+                    *state = PieceState::Waiting;
                     let piece = piece as u32;
-                    ready.push(PieceAt { stage, piece });
+                    ready.push(PieceId { stage, piece });
                 }
             }
         }
         ready
     }
 
-    /// Tells whether all results are there that a stage needs.
+    /// Returns whether all inputs of a stage are available.
     pub(super) fn has_inputs(&self, stage: usize) -> bool {
         let mut after = self.submission.stages[stage].after.iter();
         after.all(|needed| self.is_stage_done(*needed))
     }
 
-    /// Returns what a piece of a stage and those that need its result fetch, in
-    /// bytes: each piece fetches the results of all pieces before it.
-    pub(super) fn fetched_bytes(&self, stage: usize) -> u64 {
+    /// Returns the bytes fetched by a piece of a stage and by the dependents of its
+    /// result. Each piece fetches the results of all pieces of the stages before it.
+    pub(super) fn transfer_bytes(&self, stage: usize) -> u64 {
         let stages = &self.submission.stages;
-        let users = stages.iter().filter(|other| other.after.contains(&stage));
-        let users: u64 = users.map(|other| u64::from(other.pieces)).sum();
-        self.input_bytes(stage) + stages[stage].result_bytes * users.max(1)
+        let dependents = stages.iter().filter(|other| other.after.contains(&stage));
+        let dependents: u64 = dependents.map(|other| u64::from(other.pieces)).sum();
+        self.input_bytes(stage) + stages[stage].result_bytes * dependents.max(1)
     }
 
-    /// Returns the zone in which a stage is best made. Drawing every stage to the
-    /// engine's zone costs 0.007 of the worth of a day (standard error 0.004, 36
-    /// days played with and without it).
-    pub(super) fn zone_of(&self, stage: usize) -> Option<&ZoneName> {
-        if self.is_pulled_home(stage) {
+    /// Returns the zone in which a stage should run. Running every stage in the
+    /// engine's zone would cost 0.007 of the total value of a day's requests (standard
+    /// error 0.004, 36 simulated days with and without it).
+    pub(super) fn preferred_zone(&self, stage: usize) -> Option<&ZoneName> {
+        if self.prefers_home_zone(stage) {
             self.submission.home_zone.as_ref()
         } else {
-            self.zone.as_ref()
+            self.intermediate_zone.as_ref()
         }
     }
 
-    /// Tells whether the engine that fetches the results of a stage matters more
-    /// for where it is made than the results that the stage needs.
-    pub(super) fn is_pulled_home(&self, stage: usize) -> bool {
+    /// Returns whether a stage should run close to the engine, which fetches its
+    /// results, rather than close to its inputs.
+    pub(super) fn prefers_home_zone(&self, stage: usize) -> bool {
         self.is_final(stage) && self.submission.stages[stage].result_bytes > self.input_bytes(stage)
     }
 
-    /// Returns what each piece of a stage fetches, in bytes.
+    /// Returns the bytes of input that each piece of a stage fetches.
     fn input_bytes(&self, stage: usize) -> u64 {
         let stages = &self.submission.stages;
         let size = |stage: &usize| u64::from(stages[*stage].pieces) * stages[*stage].result_bytes;
@@ -208,11 +207,11 @@
         pieces.is_none_or(|pieces| {
             pieces
                 .iter()
-                .all(|piece| matches!(piece, Piece::Done { .. } | Piece::Freed))
+                .all(|piece| matches!(piece, PieceState::Done { .. } | PieceState::Freed))
         })
     }
 
-    /// Tells whether it is not finished and can't make its goal any more.
+    /// Returns whether it is unfinished and can no longer make its goal.
     pub(super) fn has_missed_goal(&self, now_ms: u64) -> bool {
         !self.is_finished && (self.is_late || now_ms >= self.goal_at_ms)
     }
@@ -221,23 +220,27 @@
         (0..self.pieces.len()).all(|stage| self.is_stage_done(stage))
     }
 
-    /// Returns the pieces of each stage that are not done.
-    pub(super) fn unfinished(&self, stage: usize) -> usize {
+    /// Returns the number of unfinished pieces of a stage.
+    pub(super) fn unfinished_pieces(&self, stage: usize) -> usize {
         self.pieces[stage]
             .iter()
-            .filter(|piece| !matches!(piece, Piece::Done { .. } | Piece::Freed))
+            .filter(|piece| !matches!(piece, PieceState::Done { .. } | PieceState::Freed))
             .count()
     }
 
-    pub(super) fn piece_mut(&mut self, at: PieceAt) -> Option<&mut Piece> {
-        self.pieces.get_mut(at.stage)?.get_mut(at.piece as usize)
+    pub(super) fn piece_state_mut(&mut self, piece_id: PieceId) -> Option<&mut PieceState> {
+        self.pieces
+            .get_mut(piece_id.stage)?
+            .get_mut(piece_id.piece as usize)
     }
 
-    pub(super) fn piece(&self, at: PieceAt) -> Option<&Piece> {
-        self.pieces.get(at.stage)?.get(at.piece as usize)
+    pub(super) fn piece_state(&self, piece_id: PieceId) -> Option<&PieceState> {
+        self.pieces
+            .get(piece_id.stage)?
+            .get(piece_id.piece as usize)
     }
 
-    /// Returns the results that a stage needs, by stage and piece.
+    /// Returns the handles of the inputs of a stage, ordered by stage and piece.
     pub(super) fn inputs(&self, stage: usize) -> Vec<String> {
         let after = &self.submission.stages[stage].after;
         let results = after.iter().flat_map(|needed| self.results(*needed));
@@ -247,12 +250,12 @@
     fn results(&self, stage: usize) -> impl Iterator<Item = &ResultRef> {
         let pieces = self.pieces.get(stage).into_iter().flatten();
         pieces.filter_map(|piece| match piece {
-            Piece::Done { result, .. } => Some(result),
+            PieceState::Done { result, .. } => Some(result),
             _ => None,
         })
     }
 
-    /// Returns the results that no other stage uses.
+    /// Returns the results that no other stage consumes.
     pub(super) fn final_results(&self) -> Vec<ResultRef> {
         (0..self.pieces.len())
             .filter(|stage| self.is_final(*stage))
@@ -265,137 +268,146 @@
         !stages.any(|other| other.pieces > 0 && other.after.contains(&stage))
     }
 
-    /// Takes out the results that are not needed any more: those whose users
-    /// are all done, or everything when `all` is set.
+    /// Removes the results that are no longer needed: those whose dependents are all
+    /// completed, or all results if `all` is set.
     pub(super) fn take_unneeded(&mut self, all: bool) -> Vec<(BackendName, ResultRef)> {
-        let mut taken = Vec::new();
+        let mut removed = Vec::new();
         for stage in 0..self.pieces.len() {
-            let is_used_up = !self.is_final(stage) && self.users_done(stage);
-            if !all && !is_used_up {
+            let is_unneeded = !self.is_final(stage) && self.dependents_done(stage);
+            if !all && !is_unneeded {
                 continue;
             }
-            taken.extend(self.take_results(stage));
+            removed.extend(self.take_results(stage));
         }
-        taken
+        removed
     }
 
-    /// Leaves the results that were made for another scheduler to their servers, which
-    /// drop them in time.
-    pub(super) fn leave_brought(&mut self) {
+    /// Drops the references to inherited results without freeing them; their servers
+    /// expire them.
+    pub(super) fn disown_inherited(&mut self) {
         let done = self.submission.done.iter();
-        let brought = done.filter_map(|done| done.kept.as_ref());
-        let brought: HashSet<&str> = brought.map(|(_, result)| result.handle.as_str()).collect();
+        let inherited = done.filter_map(|done| done.kept.as_ref());
+        let inherited: HashSet<&str> = inherited
+            .map(|(_, result)| result.handle.as_str())
+            .collect();
         for piece in self.pieces.iter_mut().flatten() {
-            let is_brought = matches!(piece, Piece::Done { result, .. }
-                if brought.contains(result.handle.as_str()));
-            if is_brought {
-                *piece = Piece::Freed;
+            let is_inherited = matches!(piece, PieceState::Done { result, .. }
+                if inherited.contains(result.handle.as_str()));
+            if is_inherited {
+                *piece = PieceState::Freed;
             }
         }
     }
 
-    /// Takes the results of a stage out.
+    /// Removes the results of a stage.
     pub(super) fn take_results(&mut self, stage: usize) -> Vec<(BackendName, ResultRef)> {
-        let mut taken = Vec::new();
+        let mut removed = Vec::new();
         for piece in &mut self.pieces[stage] {
-            if let Piece::Done { .. } = piece
-                && let Piece::Done { server, result } = std::mem::replace(piece, Piece::Freed)
+            if let PieceState::Done { .. } = piece
+                && let PieceState::Done { server, result } =
+                    std::mem::replace(piece, PieceState::Freed)
             {
-                taken.push((server, result));
+                removed.push((server, result));
             }
         }
-        taken
+        removed
     }
 
-    /// Returns the stages that need the results of another one.
-    pub(super) fn users(&self, stage: usize) -> impl Iterator<Item = usize> {
+    /// Returns the stages that depend on a stage.
+    pub(super) fn dependents(&self, stage: usize) -> impl Iterator<Item = usize> {
         let stages = self.submission.stages.iter().enumerate();
         stages
             .filter(move |(_, other)| other.after.contains(&stage))
             .map(|(index, _)| index)
     }
 
-    fn users_done(&self, stage: usize) -> bool {
-        self.users(stage).all(|user| self.is_stage_done(user))
+    fn dependents_done(&self, stage: usize) -> bool {
+        self.dependents(stage)
+            .all(|dependent| self.is_stage_done(dependent))
     }
 
-    /// Tells whether results that a stage needs have been let go.
-    pub(super) fn inputs_are_freed(&self, stage: usize) -> bool {
+    /// Returns whether any input of a stage has been freed.
+    pub(super) fn has_freed_inputs(&self, stage: usize) -> bool {
         let mut inputs = self.input_pieces(stage).into_iter();
-        inputs.any(|at| self.piece(at) == Some(&Piece::Freed))
+        inputs.any(|piece_id| self.piece_state(piece_id) == Some(&PieceState::Freed))
     }
 
-    /// Tells whether any of its pieces is at work.
+    /// Returns whether any of its pieces is running.
     pub(super) fn is_running(&self) -> bool {
         let mut pieces = self.pieces.iter().flatten();
-        pieces.any(|piece| matches!(piece, Piece::Running(_)))
+        pieces.any(|piece| matches!(piece, PieceState::Running(_)))
     }
 
-    /// Returns the pieces that are done.
-    pub(super) fn done(&self) -> Vec<DonePiece> {
-        let mut done = Vec::new();
+    /// Returns the completed pieces.
+    pub(super) fn done_pieces(&self) -> Vec<DonePiece> {
+        let mut done_pieces = Vec::new();
         for (stage, pieces) in self.pieces.iter().enumerate() {
             for (piece, state) in pieces.iter().enumerate() {
                 let kept = match state {
-                    Piece::Done { server, result } => Some((server.clone(), result.clone())),
-                    Piece::Freed => None,
+                    PieceState::Done { server, result } => Some((server.clone(), result.clone())),
+                    PieceState::Freed => None,
                     _ => continue,
                 };
                 let piece = piece as u32;
-                done.push(DonePiece { stage, piece, kept });
+                done_pieces.push(DonePiece { stage, piece, kept });
             }
         }
-        done
+        done_pieces
     }
 
-    /// Returns the pieces that are not done, by stage.
+    /// Returns the number of unfinished pieces of each stage.
     pub(super) fn unfinished_by_stage(&self) -> Vec<usize> {
         let stages = 0..self.pieces.len();
-        stages.map(|stage| self.unfinished(stage)).collect()
+        stages.map(|stage| self.unfinished_pieces(stage)).collect()
     }
 
-    /// Makes the results that a stage needs be produced again: those whose
-    /// servers are not known any more or that were let go, or else all of them. What
-    /// they need in turn is produced again where it was let go, and what waits
-    /// for any of it waits until all is there.
-    pub(super) fn redo_inputs(&mut self, stage: usize, is_known: impl Fn(&BackendName) -> bool) {
+    /// Marks the inputs of a stage to be produced again: those that were freed or whose
+    /// servers are gone, or else all of them. Their own inputs are produced again where
+    /// they were freed. Waiting pieces that depend on any of these become blocked.
+    pub(super) fn regenerate_inputs(
+        &mut self,
+        stage: usize,
+        is_known: impl Fn(&BackendName) -> bool,
+    ) {
         let inputs = self.input_pieces(stage);
-        let is_lost = |at: &PieceAt| match self.piece(*at) {
-            Some(Piece::Done { server, .. }) => !is_known(server),
-            Some(Piece::Freed) => true,
+        let is_lost = |piece_id: &PieceId| match self.piece_state(*piece_id) {
+            Some(PieceState::Done { server, .. }) => !is_known(server),
+            Some(PieceState::Freed) => true,
             _ => false,
         };
-        let lost: Vec<PieceAt> = inputs.iter().copied().filter(is_lost).collect();
-        let mut again = if lost.is_empty() { inputs } else { lost };
-        while let Some(at) = again.pop() {
-            let Some(piece) = self.piece_mut(at) else {
+        let lost: Vec<PieceId> = inputs.iter().copied().filter(is_lost).collect();
+        let mut to_repeat = if lost.is_empty() { inputs } else { lost };
+        while let Some(piece_id) = to_repeat.pop() {
+            let Some(piece) = self.piece_state_mut(piece_id) else {
                 continue;
             };
-            if !matches!(piece, Piece::Done { .. } | Piece::Freed) {
+            if !matches!(piece, PieceState::Done { .. } | PieceState::Freed) {
                 continue;
             }
-            *piece = Piece::Blocked;
-            let needed = self.input_pieces(at.stage).into_iter();
-            again.extend(needed.filter(|needed| self.piece(*needed) == Some(&Piece::Freed)));
+            *piece = PieceState::Blocked;
+            let needed = self.input_pieces(piece_id.stage).into_iter();
+            to_repeat.extend(
+                needed.filter(|needed| self.piece_state(*needed) == Some(&PieceState::Freed)),
+            );
         }
         for stage in 0..self.pieces.len() {
             if self.has_inputs(stage) {
                 continue;
             }
             for piece in &mut self.pieces[stage] {
-                if *piece == Piece::Waiting {
-                    *piece = Piece::Blocked;
+                if *piece == PieceState::Waiting {
+                    *piece = PieceState::Blocked;
                 }
             }
         }
     }
 
     /// Returns the pieces whose results a stage needs.
-    fn input_pieces(&self, stage: usize) -> Vec<PieceAt> {
+    fn input_pieces(&self, stage: usize) -> Vec<PieceId> {
         let after = &self.submission.stages[stage].after;
         let pieces = after.iter().flat_map(|stage| {
             let count = self.pieces[*stage].len() as u32;
-            (0..count).map(|piece| PieceAt {
+            (0..count).map(|piece| PieceId {
                 stage: *stage,
                 piece,
             })
--- a/crates/core/src/stages/service.rs
+++ b/crates/core/src/stages/service.rs
@@ -1,41 +1,41 @@
-//! One service that takes pieces: its servers and what waits for them.
+//! One service that processes pieces: its servers and its queue.
 
 use std::collections::BTreeMap;
 
 use super::{queue::Queue, server::Server};
 use crate::{forwarding::Batching, ids::BackendName};
 
-/// How much a new measure counts for the usual time of a stage.
-const USUAL_WEIGHT: f64 = 0.1;
-
-/// Part of a server's memory that is left for results that are larger than is said, for
-/// one result; where there are more, what they are larger by in all grows with the root
-/// of their number only, so that the part shrinks with it. A piece without room is a call
-/// in vain.
-const SPARE_ROOM: f64 = 0.5;
-
-/// Time between two looks at pieces that wait for a server in their zone while
-/// others are idle, in ms.
-pub(super) const WAIT_STEP_MS: u64 = 20;
-
-/// Returns the memory, out of `room_bytes` at one server, that is given away to results
-/// of about `result_bytes` each.
-pub(super) fn usable_room_bytes(room_bytes: u64, result_bytes: u64) -> u64 {
-    let spare = SPARE_ROOM * (room_bytes as f64 * result_bytes as f64).sqrt();
-    let usable = room_bytes.saturating_sub(spare as u64);
-    usable.max(result_bytes.min(room_bytes))
+/// Weight of a new measurement in the mean latency of a stage.
+const LATENCY_EWMA_WEIGHT: f64 = 0.1;
+
+/// Memory held in reserve at a server, as a share of one result, for results that are
+/// larger than declared. The sum of the excess sizes grows with the square root of the
+/// number of results, so the reserve is a smaller share of a larger memory. A piece
+/// without memory for its result is a wasted call.
+const MEMORY_RESERVE_FACTOR: f64 = 0.5;
+
+/// Time between two attempts to dispatch pieces that wait for a server in their zone
+/// while others are idle, in ms.
+pub(super) const DISPATCH_RETRY_MS: u64 = 20;
+
+/// Returns the part of a server's `room_bytes` that may be used for results of about
+/// `result_bytes` each.
+pub(super) fn usable_memory_bytes(memory_bytes: u64, result_bytes: u64) -> u64 {
+    let reserve = MEMORY_RESERVE_FACTOR * (memory_bytes as f64 * result_bytes as f64).sqrt();
+    let usable_bytes = memory_bytes.saturating_sub(reserve as u64);
+    usable_bytes.max(result_bytes.min(memory_bytes))
 }
 
-/// How a request was taken.
+/// The class in which a request was admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Taken {
-    /// It was to be in time.
+pub(super) enum AdmissionClass {
+    /// It is expected to make its goal.
     InTime,
-    /// Its goal was lost already; it is done with what the others leave.
+    /// It has already missed its goal and only uses capacity that the others leave.
     Late,
 }
 
-/// Pieces of taken requests that are not done.
+/// Unfinished pieces of admitted requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Committed {
     in_time: usize,
@@ -43,37 +43,37 @@
 }
 
 impl Committed {
-    fn of(&mut self, taken: Taken) -> &mut usize {
-        match taken {
-            Taken::InTime => &mut self.in_time,
-            Taken::Late => &mut self.late,
+    fn count_mut(&mut self, admission_class: AdmissionClass) -> &mut usize {
+        match admission_class {
+            AdmissionClass::InTime => &mut self.in_time,
+            AdmissionClass::Late => &mut self.late,
         }
     }
 
-    pub(super) fn add(&mut self, taken: Taken, pieces: usize) {
-        *self.of(taken) += pieces;
+    pub(super) fn add(&mut self, admission_class: AdmissionClass, pieces: usize) {
+        *self.count_mut(admission_class) += pieces;
     }
 
-    pub(super) fn remove(&mut self, taken: Taken, pieces: usize) {
-        let count = self.of(taken);
+    pub(super) fn remove(&mut self, admission_class: AdmissionClass, pieces: usize) {
+        let count = self.count_mut(admission_class);
         *count = count.saturating_sub(pieces);
     }
 
-    /// Returns the pieces that go before a new one, those that were taken late
-    /// by `late_weight` each.
-    pub(super) fn ahead(&self, late_weight: f64) -> f64 {
+    /// Returns the pieces ahead of a new one, with those that were admitted late
+    /// weighted by `late_weight`.
+    pub(super) fn weighted_pieces(&self, late_weight: f64) -> f64 {
         self.in_time as f64 + self.late as f64 * late_weight
     }
 }
 
-/// How things stood when pieces were left waiting beside idle servers: they are
-/// looked at again when anything of it changes, or after a while.
+/// The state after a dispatch that left pieces waiting while servers were idle. The
+/// next attempt follows when any of it changes, or after `DISPATCH_RETRY_MS`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Stuck {
+pub(super) struct DispatchSnapshot {
     added: u64,
     idle_servers: usize,
-    room_used: u64,
-    /// Time of the look, in ms.
+    used_memory_bytes: u64,
+    /// Time of the dispatch, in ms.
     at_ms: u64,
 }
 
@@ -82,17 +82,17 @@
 pub(super) struct StageService {
     pub(super) batching: Batching,
     pub(super) servers: BTreeMap<BackendName, Server>,
-    /// What waits for them.
+    /// Pieces that wait for the servers.
     pub(super) queue: Queue,
-    /// How things stood when pieces were left waiting beside idle servers.
-    pub(super) stuck: Option<Stuck>,
-    /// Pieces of taken requests that are not done, waiting for this stage or an
-    /// earlier one.
+    /// The state after the last dispatch.
+    pub(super) last_dispatch: Option<DispatchSnapshot>,
+    /// Unfinished pieces of admitted requests, waiting for this stage or an earlier
+    /// one.
     pub(super) committed: Committed,
     /// Pieces that are part of a call.
-    pub(super) running: usize,
-    /// Usual time from a piece being ready to its result, in ms.
-    pub(super) usual_ms: f64,
+    pub(super) running_pieces: usize,
+    /// Moving average of the time from a piece becoming ready to its result, in ms.
+    pub(super) mean_latency_ms: f64,
 }
 
 impl StageService {
@@ -101,129 +101,130 @@
             batching,
             servers: BTreeMap::new(),
             queue: Queue::default(),
-            stuck: None,
+            last_dispatch: None,
             committed: Committed::default(),
-            running: 0,
-            usual_ms: batching.duration_ms(batching.batch_pieces / 2),
+            running_pieces: 0,
+            mean_latency_ms: batching.duration_ms(batching.batch_pieces / 2),
         }
     }
 
-    /// Tells whether any piece that waits may be sent now.
-    pub(super) fn can_begin(&self, now_ms: u64) -> bool {
+    /// Returns whether a waiting piece may be dispatched now.
+    pub(super) fn can_dispatch(&self, now_ms: u64) -> bool {
         if self.queue.is_empty() || self.idle_servers(now_ms) == 0 {
             return false;
         }
-        self.stuck.is_none_or(|stuck| {
-            let now = self.standing(now_ms);
-            let is_same = Stuck {
-                at_ms: stuck.at_ms,
+        self.last_dispatch.is_none_or(|last_dispatch| {
+            let now = self.dispatch_snapshot(now_ms);
+            let is_same = DispatchSnapshot {
+                at_ms: last_dispatch.at_ms,
                 ..now
-            } == stuck;
-            !is_same || now_ms >= stuck.at_ms + WAIT_STEP_MS
+            } == last_dispatch;
+            !is_same || now_ms >= last_dispatch.at_ms + DISPATCH_RETRY_MS
         })
     }
 
-    /// Notes how things stand after what could be sent was sent.
-    pub(super) fn note_stuck(&mut self, now_ms: u64) {
-        self.stuck = Some(self.standing(now_ms));
+    /// Records the state after a dispatch.
+    pub(super) fn record_dispatch(&mut self, now_ms: u64) {
+        self.last_dispatch = Some(self.dispatch_snapshot(now_ms));
     }
 
-    fn standing(&self, now_ms: u64) -> Stuck {
+    fn dispatch_snapshot(&self, now_ms: u64) -> DispatchSnapshot {
         let servers = self.servers.values();
-        Stuck {
-            added: self.queue.added(),
+        DispatchSnapshot {
+            added: self.queue.total_added(),
             idle_servers: self.idle_servers(now_ms),
-            room_used: servers.map(|server| server.room_used).sum(),
+            used_memory_bytes: servers.map(|server| server.used_memory_bytes).sum(),
             at_ms: now_ms,
         }
     }
 
     pub(super) fn on_piece_done(&mut self, elapsed_ms: f64) {
-        self.usual_ms += USUAL_WEIGHT * (elapsed_ms - self.usual_ms);
+        self.mean_latency_ms += LATENCY_EWMA_WEIGHT * (elapsed_ms - self.mean_latency_ms);
     }
 
-    /// Uses slow servers where there are no others: then the service is slow, and
-    /// not a server of it.
-    pub(super) fn use_slow_rather_than_none(&mut self, now_ms: u64) {
-        if self.open_servers(now_ms) > 0 {
+    /// Uses the slow servers if no other server is available: the service is slow then,
+    /// rather than some of its servers.
+    pub(super) fn use_slow_if_no_other(&mut self, now_ms: u64) {
+        if self.available_servers(now_ms) > 0 {
             return;
         }
         let servers = self.servers.values_mut();
-        for server in servers.filter(|server| server.is_only_slow(now_ms)) {
-            server.use_slow();
+        for server in servers.filter(|server| server.is_paused_only_as_slow(now_ms)) {
+            server.clear_slow_pause();
         }
     }
 
-    /// Returns the pieces that its servers finish in a ms with full batches.
+    /// Returns the pieces that its servers complete per ms with full batches.
     pub(super) fn rate_per_ms(&self, now_ms: u64) -> f64 {
-        let full = self.batching.batch_pieces;
-        let call_ms = self.batching.duration_ms(full);
-        let open = self
+        let batch_pieces = self.batching.batch_pieces;
+        let call_ms = self.batching.duration_ms(batch_pieces);
+        let available = self
             .servers
             .values()
-            .filter(|server| server.is_open(now_ms));
-        let calls_per_ms: f64 = open.map(|server| server.calls_per_ms(call_ms)).sum();
-        full as f64 * calls_per_ms
+            .filter(|server| server.is_available(now_ms));
+        let calls_per_ms: f64 = available.map(|server| server.calls_per_ms(call_ms)).sum();
+        batch_pieces as f64 * calls_per_ms
     }
 
-    /// Returns the time in which its servers finish `pieces` with full batches, in ms; servers
-    /// that back off begin once that ends. None where no server takes work by then.
+    /// Returns the time in which its servers complete `pieces` with full batches, in
+    /// ms. Servers that back off join once their backoff ends. Returns `None` if no
+    /// server accepts work by then.
     pub(super) fn drain_ms(&self, now_ms: u64, pieces: f64) -> Option<f64> {
-        let full = self.batching.batch_pieces;
-        let call_ms = self.batching.duration_ms(full);
+        let batch_pieces = self.batching.batch_pieces;
+        let call_ms = self.batching.duration_ms(batch_pieces);
         let mut rate = self.rate_per_ms(now_ms);
         let backing_off = self.backing_off(now_ms);
         let mut joining: Vec<(u64, f64)> = backing_off
-            .map(|(left_ms, server)| (left_ms, full as f64 * server.calls_per_ms(call_ms)))
+            .map(|(left_ms, server)| (left_ms, batch_pieces as f64 * server.calls_per_ms(call_ms)))
             .collect();
         joining.sort_by_key(|(left_ms, _)| *left_ms);
-        let mut left = pieces;
+        let mut remaining_pieces = pieces;
         let mut at_ms = 0.0;
         for (joins_in_ms, joining_rate) in joining {
             let until_ms = joins_in_ms as f64;
             let done = rate * (until_ms - at_ms);
-            if done >= left {
+            if done >= remaining_pieces {
                 break;
             }
-            left -= done;
+            remaining_pieces -= done;
             at_ms = until_ms;
             rate += joining_rate;
         }
-        (rate > 0.0).then(|| at_ms + left / rate)
+        (rate > 0.0).then(|| at_ms + remaining_pieces / rate)
     }
 
-    /// Returns the time until a server takes work, in ms: 0 if one does now, none if all are
-    /// unavailable for another reason than backoff.
+    /// Returns the time until a server accepts work, in ms: 0 if one does now, `None`
+    /// if all servers are unavailable for a reason other than backoff.
     pub(super) fn available_in_ms(&self, now_ms: u64) -> Option<u64> {
-        if self.open_servers(now_ms) > 0 {
+        if self.available_servers(now_ms) > 0 {
             return Some(0);
         }
         self.backing_off(now_ms).map(|(left_ms, _)| left_ms).min()
     }
 
-    /// Returns the servers that only their backoff keeps from work, and what is left of it in
-    /// ms.
+    /// Returns the servers that only their backoff keeps from getting work, with the
+    /// rest of it in ms.
     fn backing_off(&self, now_ms: u64) -> impl Iterator<Item = (u64, &Server)> {
         let servers = self.servers.values();
         servers.filter_map(move |server| Some((server.backoff_left_ms(now_ms)?, server)))
     }
 
-    /// Returns the pieces that idle rate-limited servers take now, however low their limits;
-    /// keeps them probed.
-    pub(super) fn taken_at_once(&self, now_ms: u64) -> usize {
+    /// Returns the pieces that idle rate-limited servers accept now, however low their
+    /// limits. This makes sure that such servers are still called.
+    pub(super) fn immediate_pieces(&self, now_ms: u64) -> usize {
         let servers = self.servers.values();
         let limited = servers.filter(|server| server.limit_per_s.is_some());
         let ready = limited.filter(|server| server.is_idle(now_ms)).count();
         ready * self.batching.batch_pieces
     }
 
-    /// Returns the servers that take work.
-    pub(super) fn open_servers(&self, now_ms: u64) -> usize {
+    /// Returns the number of available servers.
+    pub(super) fn available_servers(&self, now_ms: u64) -> usize {
         let servers = self.servers.values();
-        servers.filter(|server| server.is_open(now_ms)).count()
+        servers.filter(|server| server.is_available(now_ms)).count()
     }
 
-    /// Returns the servers that could begin a call at once.
+    /// Returns the number of servers that can start a call now.
     pub(super) fn idle_servers(&self, now_ms: u64) -> usize {
         let servers = self.servers.values();
         servers.filter(|server| server.is_idle(now_ms)).count()
