--- a/crates/core/src/claim_batcher.rs
+++ b/crates/core/src/claim_batcher.rs
@@ -11,13 +11,13 @@
     /// Shortest time between the starts of two appends, in ms.
     pub interval_ms: u64,
     /// Time without a record after which an empty one is appended, in ms.
-    pub mark_interval_ms: u64,
+    pub heartbeat_interval_ms: u64,
     /// Most entries of one batch.
     pub max_entries: usize,
     /// Most bytes of one batch.
     pub max_bytes: usize,
     /// Most entries that wait.
-    pub max_waiting: usize,
+    pub max_pending: usize,
 }
 
 /// Returns the time between appends that keeps `appenders` instances together
@@ -79,7 +79,7 @@
     /// that were let in are never refused, and there are no more of them than
     /// of claims.
     pub fn has_room(&self) -> bool {
-        self.waiting.len() < self.limits.max_waiting
+        self.waiting.len() < self.limits.max_pending
     }
 
     /// Adds an entry to one of the next batches.
@@ -106,7 +106,7 @@
     }
 
     /// Tells whether the log takes no appends, as far as the last ones show.
-    pub fn is_log_away(&self) -> bool {
+    pub fn is_log_unavailable(&self) -> bool {
         self.failures >= FAILURES_TO_AWAY
     }
 
@@ -116,10 +116,10 @@
         if self.in_flight.is_some() {
             return None;
         }
-        if !self.waiting.is_empty() || self.is_log_away() || !self.has_begun {
+        if !self.waiting.is_empty() || self.is_log_unavailable() || !self.has_begun {
             return Some(self.next_at_ms);
         }
-        let mark_at_ms = self.recorded_at_ms + self.limits.mark_interval_ms;
+        let mark_at_ms = self.recorded_at_ms + self.limits.heartbeat_interval_ms;
         Some(mark_at_ms.max(self.next_at_ms))
     }
 
--- a/crates/core/src/claim_decision.rs
+++ b/crates/core/src/claim_decision.rs
@@ -28,7 +28,7 @@
     /// Records that the decision depends on are missing here.
     IndexIncomplete,
     /// The log takes no appends.
-    LogAway,
+    LogUnavailable,
     /// Too many claims wait to be appended.
     Busy,
     /// The claim was not read back in time.
@@ -38,7 +38,7 @@
     /// The claim is too old to be acted on.
     ClaimTooOld,
     /// The instance that holds the key gives no answer.
-    HolderGone,
+    HolderUnreachable,
     /// The call was handed out before.
     AlreadySent,
     /// The attempt does not hold its key.
@@ -52,12 +52,12 @@
     pub fn as_str(self) -> &'static str {
         match self {
             Self::IndexIncomplete => "claims_incomplete",
-            Self::LogAway => "log_away",
+            Self::LogUnavailable => "log_away",
             Self::Busy => "claims_busy",
             Self::Deadline => "claim_timeout",
             Self::CallerGone => "caller_gone",
             Self::ClaimTooOld => "claim_too_old",
-            Self::HolderGone => "first_run_unreachable",
+            Self::HolderUnreachable => "first_run_unreachable",
             Self::AlreadySent => "already_sent",
             Self::NotHolder => "not_holder",
             Self::NothingSent => "nothing_sent",
@@ -110,7 +110,7 @@
 
 /// An attempt that has begun.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Begun {
+pub struct StartedAttempt {
     /// The attempt.
     pub attempt: Attempt,
     /// What is decided about it already.
@@ -119,7 +119,7 @@
 
 /// A decision and the attempt that it is about.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Step {
+pub struct AttemptDecision {
     /// Attempt that was decided.
     pub attempt: Attempt,
     /// What was decided.
--- a/crates/core/src/claimant.rs
+++ b/crates/core/src/claimant.rs
@@ -4,7 +4,8 @@
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
 pub use crate::claim_decision::{
-    Attempt, Begun, ClaimReason, ClaimRequest, Decision, Ending, FirstRun, Permit, Step,
+    Attempt, AttemptDecision, ClaimReason, ClaimRequest, Decision, Ending, FirstRun, Permit,
+    StartedAttempt,
 };
 use crate::{
     claim::{Batch, ClaimId, Completion, Entry, KeyHash},
@@ -117,7 +118,7 @@
     }
 
     /// Begins an attempt; what is known already is decided at once.
-    pub fn begin(&mut self, now_ms: u64, ask: ClaimRequest) -> Begun {
+    pub fn begin(&mut self, now_ms: u64, ask: ClaimRequest) -> StartedAttempt {
         let attempt = Attempt(self.take_number());
         let decision = match self.look_up(&ask) {
             Some(decision) => Some(decision),
@@ -127,7 +128,7 @@
             let phase = Phase::Watching { holder: first.id };
             self.requests.insert(attempt, Request { ask, phase });
         }
-        Begun { attempt, decision }
+        StartedAttempt { attempt, decision }
     }
 
     /// Decides from what holds the key, if anything does.
@@ -180,8 +181,8 @@
             Some(ClaimReason::Deadline)
         } else if !self.index.is_complete() {
             Some(ClaimReason::IndexIncomplete)
-        } else if self.batcher.is_log_away() {
-            Some(ClaimReason::LogAway)
+        } else if self.batcher.is_log_unavailable() {
+            Some(ClaimReason::LogUnavailable)
         } else if !self.batcher.has_room() {
             Some(ClaimReason::Busy)
         } else {
@@ -224,7 +225,7 @@
     }
 
     /// Applies a record that was read back and decides what follows from it.
-    pub fn on_record(&mut self, now_ms: u64, record: &ClaimRecord<'_>) -> Vec<Step> {
+    pub fn on_record(&mut self, now_ms: u64, record: &ClaimRecord<'_>) -> Vec<AttemptDecision> {
         self.batcher.on_record(now_ms);
         let keys: HashSet<KeyHash> = self.index.apply(record).into_iter().collect();
         if !self.index.is_complete() {
@@ -244,7 +245,7 @@
     }
 
     /// Ends what depends on records that were missed.
-    fn end_undecided(&mut self, now_ms: u64) -> Vec<Step> {
+    fn end_undecided(&mut self, now_ms: u64) -> Vec<AttemptDecision> {
         let undecided: Vec<Attempt> = self
             .requests
             .iter()
@@ -271,7 +272,7 @@
     }
 
     /// Decides one attempt from what the index says now.
-    fn settle(&mut self, now_ms: u64, attempt: Attempt) -> Option<Step> {
+    fn settle(&mut self, now_ms: u64, attempt: Attempt) -> Option<AttemptDecision> {
         let request = self.requests.get(&attempt)?;
         let ask = request.ask;
         let decision = match request.phase {
@@ -298,7 +299,7 @@
             },
         }?;
         self.note(attempt, &decision);
-        Some(Step { attempt, decision })
+        Some(AttemptDecision { attempt, decision })
     }
 
     fn win(
@@ -308,7 +309,7 @@
         id: ClaimId,
         asked_ms: u64,
         untouched: bool,
-    ) -> Option<Step> {
+    ) -> Option<AttemptDecision> {
         let hold = Hold {
             id,
             asked_ms,
@@ -321,7 +322,7 @@
             Some(reason) => Decision::Ended(self.give_up(now_ms, attempt, reason)?),
             None => Decision::Won,
         };
-        Some(Step { attempt, decision })
+        Some(AttemptDecision { attempt, decision })
     }
 
     /// Keeps watching after [`Decision::Join`]; every other decision is final.
@@ -354,7 +355,7 @@
     }
 
     /// Ends what is past its deadline.
-    pub fn on_tick(&mut self, now_ms: u64) -> Vec<Step> {
+    pub fn on_tick(&mut self, now_ms: u64) -> Vec<AttemptDecision> {
         self.forget_abandoned(now_ms);
         let late: Vec<Attempt> = self
             .requests
@@ -377,18 +378,23 @@
     }
 
     /// Ends an attempt that holds nothing.
-    fn end_waiting(&mut self, now_ms: u64, attempt: Attempt, reason: ClaimReason) -> Option<Step> {
+    fn end_waiting(
+        &mut self,
+        now_ms: u64,
+        attempt: Attempt,
+        reason: ClaimReason,
+    ) -> Option<AttemptDecision> {
         let request = self.requests.get(&attempt)?;
         if matches!(request.phase, Phase::Won(_)) {
             return None;
         }
         let decision = Decision::Ended(self.give_up(now_ms, attempt, reason)?);
-        Some(Step { attempt, decision })
+        Some(AttemptDecision { attempt, decision })
     }
 
     /// Ends an attempt whose holder gives no answer: what became of the first
     /// run is not known, unless the log has it.
-    pub fn on_holder_gone(&mut self, now_ms: u64, attempt: Attempt) -> Option<Decision> {
+    pub fn on_holder_unreachable(&mut self, now_ms: u64, attempt: Attempt) -> Option<Decision> {
         if let Some(recorded) = self.recorded(attempt) {
             return Some(recorded);
         }
@@ -396,7 +402,7 @@
         if !matches!(request.phase, Phase::Watching { .. }) {
             return None;
         }
-        let ending = self.give_up(now_ms, attempt, ClaimReason::HolderGone)?;
+        let ending = self.give_up(now_ms, attempt, ClaimReason::HolderUnreachable)?;
         Some(Decision::Ended(ending))
     }
 
--- a/crates/core/src/ticket.rs
+++ b/crates/core/src/ticket.rs
@@ -70,7 +70,7 @@
     /// Time that a ticket can be used, in ms.
     pub valid_ms: u64,
     /// Time that a ticket is remembered after it can't be used any more, in ms.
-    pub keep_ms: u64,
+    pub retain_expired_ms: u64,
     /// Most tickets of one workspace.
     pub max_per_workspace: usize,
     /// Most tickets of all.
@@ -173,7 +173,7 @@
         self.known.insert(id.clone(), known);
         *self.by_workspace.entry(workspace.clone()).or_default() += 1;
         self.order
-            .push_back((expires_ms + self.limits.keep_ms, id.clone()));
+            .push_back((expires_ms + self.limits.retain_expired_ms, id.clone()));
         Some(id)
     }
 
--- a/crates/core/tests/claims_rules.rs
+++ b/crates/core/tests/claims_rules.rs
@@ -5,8 +5,8 @@
     claim_batcher::{AppendResult, BatchLimits, ClaimBatcher, interval_ms},
     claim_index::{ClaimIndex, ClaimRecord, IndexLimits, Standing, Verdict},
     claimant::{
-        Attempt, Begun, ClaimLimits, ClaimReason, ClaimRequest, Claimant, Decision, Ending,
-        FirstRun, Permit, Step,
+        Attempt, AttemptDecision, ClaimLimits, ClaimReason, ClaimRequest, Claimant, Decision,
+        Ending, FirstRun, Permit, StartedAttempt,
     },
     ids::{IdempotencyKey, Incarnation, InstanceName, Offset, WorkspaceName},
     outcome::Outcome,
@@ -26,10 +26,10 @@
 
 const BATCH: BatchLimits = BatchLimits {
     interval_ms: 50,
-    mark_interval_ms: WINDOW_MS,
+    heartbeat_interval_ms: WINDOW_MS,
     max_entries: 4,
     max_bytes: 1_000,
-    max_waiting: 8,
+    max_pending: 8,
 };
 
 fn id(incarnation: u64) -> ClaimId {
@@ -291,7 +291,7 @@
         claimant
     }
 
-    fn read(&self, now_ms: u64, claimant: &mut Claimant) -> Vec<Step> {
+    fn read(&self, now_ms: u64, claimant: &mut Claimant) -> Vec<AttemptDecision> {
         let from = claimant.index().next().0;
         let mut steps = Vec::new();
         for (offset, (appended_at_ms, batch)) in (0..).zip(&self.records) {
@@ -314,7 +314,7 @@
     }
 
     /// Appends what waits and reads it back.
-    fn settle(&mut self, now_ms: u64, claimant: &mut Claimant) -> Vec<Step> {
+    fn settle(&mut self, now_ms: u64, claimant: &mut Claimant) -> Vec<AttemptDecision> {
         self.append(now_ms, claimant, AppendResult::Appended);
         self.read(now_ms, claimant)
     }
@@ -329,7 +329,7 @@
 }
 
 fn begin(now_ms: u64, claimant: &mut Claimant, deadline_ms: u64) -> Attempt {
-    let Begun { attempt, decision } = claimant.begin(now_ms, ask(deadline_ms));
+    let StartedAttempt { attempt, decision } = claimant.begin(now_ms, ask(deadline_ms));
     assert_eq!(decision, None);
     attempt
 }
@@ -337,7 +337,10 @@
 fn win(now_ms: u64, log: &mut Log, claimant: &mut Claimant, deadline_ms: u64) -> Attempt {
     let attempt = begin(now_ms, claimant, deadline_ms);
     let decision = Decision::Won;
-    assert_eq!(log.settle(now_ms, claimant), [Step { attempt, decision }]);
+    assert_eq!(
+        log.settle(now_ms, claimant),
+        [AttemptDecision { attempt, decision }]
+    );
     attempt
 }
 
@@ -389,7 +392,7 @@
     log.append(0, &mut a, AppendResult::NotConfirmed);
     let steps = log.read(10, &mut a);
     let decision = Decision::Won;
-    assert_eq!(steps, [Step { attempt, decision }]);
+    assert_eq!(steps, [AttemptDecision { attempt, decision }]);
     assert_eq!(a.permit(10, attempt, 0, ONCE), Permit::Send);
 }
 
@@ -404,7 +407,7 @@
     );
     assert_eq!(a.finish(3_000, of_a, Outcome::Failed, b""), Outcome::NotRun);
     log.read(3_000, &mut b);
-    let Begun {
+    let StartedAttempt {
         attempt: of_b,
         decision,
     } = b.begin(3_000, ask(4_000));
@@ -435,7 +438,7 @@
     let attempt = begin(0, &mut a, 1_000);
     log.append(0, &mut a, AppendResult::NotConfirmed);
     let decision = ended(Outcome::NotStarted, ClaimReason::Deadline);
-    assert_eq!(a.on_tick(1_000), [Step { attempt, decision }]);
+    assert_eq!(a.on_tick(1_000), [AttemptDecision { attempt, decision }]);
     assert_eq!(log.read(1_100, &mut a), []);
     assert_eq!(
         a.permit(1_100, attempt, 0, ONCE),
@@ -510,10 +513,10 @@
     win(0, &mut log, &mut a, 1_000);
     drop(a);
     log.read(5, &mut b);
-    let Begun { attempt, decision } = b.begin(10, ask(1_000));
+    let StartedAttempt { attempt, decision } = b.begin(10, ask(1_000));
     assert_eq!(decision, Some(Decision::Join(first_run())));
-    let unknown = ended(Outcome::Unknown, ClaimReason::HolderGone);
-    assert_eq!(b.on_holder_gone(10, attempt), Some(unknown));
+    let unknown = ended(Outcome::Unknown, ClaimReason::HolderUnreachable);
+    assert_eq!(b.on_holder_unreachable(10, attempt), Some(unknown));
 }
 
 #[test]
@@ -529,7 +532,7 @@
     let decision = ended(Outcome::NotStarted, ClaimReason::IndexIncomplete);
     assert_eq!(
         a.on_record(5, &record),
-        [Step {
+        [AttemptDecision {
             attempt,
             decision: decision.clone()
         }]
@@ -546,7 +549,7 @@
         assert!(a.poll_append(now_ms).is_some());
         a.on_append_result(AppendResult::NotConfirmed);
     }
-    let away = ended(Outcome::NotStarted, ClaimReason::LogAway);
+    let away = ended(Outcome::NotStarted, ClaimReason::LogUnavailable);
     assert_eq!(a.begin(160, ask(1_000)).decision, Some(away));
     log.settle(300, &mut a);
     assert_eq!(
--- a/crates/core/tests/claims_tickets.rs
+++ b/crates/core/tests/claims_tickets.rs
@@ -18,7 +18,7 @@
 const PRINT: Fingerprint = Fingerprint([1; 16]);
 const LIMITS: TicketLimits = TicketLimits {
     valid_ms: 1_000,
-    keep_ms: 500,
+    retain_expired_ms: 500,
     max_per_workspace: 3,
     max_total: 4,
 };
@@ -113,7 +113,7 @@
     let other = WorkspaceName::from("uithangbord");
     assert!(book.issue(0, &other, [10; 16]).is_some());
     assert!(book.issue(0, &other, [11; 16]).is_none());
-    let later_ms = LIMITS.valid_ms + LIMITS.keep_ms;
+    let later_ms = LIMITS.valid_ms + LIMITS.retain_expired_ms;
     assert!(issue(&mut book, later_ms, 12).is_some());
     assert_eq!(book.len(), 1);
 }
--- a/crates/core/tests/claims_world/mod.rs
+++ b/crates/core/tests/claims_world/mod.rs
@@ -10,7 +10,10 @@
     claim::{Batch, Fingerprint, KeyHash},
     claim_batcher::{AppendResult, BatchLimits},
     claim_index::{ClaimRecord, IndexLimits},
-    claimant::{Attempt, Begun, ClaimLimits, ClaimRequest, Claimant, Decision, Permit, Step},
+    claimant::{
+        Attempt, AttemptDecision, ClaimLimits, ClaimRequest, Claimant, Decision, Permit,
+        StartedAttempt,
+    },
     ids::{Incarnation, InstanceName, Offset},
     outcome::Outcome,
     progress::{CallKind, Retraction},
@@ -39,10 +42,10 @@
         },
         batch: BatchLimits {
             interval_ms: 0,
-            mark_interval_ms: WINDOW_MS,
+            heartbeat_interval_ms: WINDOW_MS,
             max_entries: 3,
             max_bytes: 4096,
-            max_waiting: 16,
+            max_pending: 16,
         },
         max_abandoned: 64,
     }
@@ -92,7 +95,7 @@
         which: usize,
         outcome: Outcome,
     },
-    HolderGone {
+    HolderUnreachable {
         at: usize,
         which: usize,
     },
@@ -152,7 +155,7 @@
                 which,
                 outcome: *g.choose(&Outcome::ALL).expect("outcomes"),
             },
-            190..194 => Self::HolderGone { at, which },
+            190..194 => Self::HolderUnreachable { at, which },
             194..197 => Self::Kill { at },
             197..199 => Self::Trim {
                 keep: usize::arbitrary(g) % 8,
@@ -280,7 +283,7 @@
             Op::RunIdempotent { at, which } => self.run_idempotent(at, which),
             Op::Retract { at, which, cause } => self.retract(at, which, cause),
             Op::Finish { at, which, outcome } => self.finish(at, which, outcome),
-            Op::HolderGone { at, which } => self.holder_gone(at, which),
+            Op::HolderUnreachable { at, which } => self.holder_gone(at, which),
             Op::Kill { at } => self.instances[at] = self.start(),
             Op::Trim { keep } => self.first = self.first.max(self.log.len().saturating_sub(keep)),
             Op::Garble => self.store(None),
@@ -295,10 +298,10 @@
             deadline_ms: now + allowed_ms,
         };
         let instance = &mut self.instances[at];
-        let Begun { attempt, decision } = instance.claimant.begin(now, ask);
+        let StartedAttempt { attempt, decision } = instance.claimant.begin(now, ask);
         instance.pending.insert(attempt, key);
         if let Some(decision) = decision {
-            self.take(at, vec![Step { attempt, decision }]);
+            self.take(at, vec![AttemptDecision { attempt, decision }]);
         }
     }
 
@@ -343,8 +346,8 @@
         }
     }
 
-    fn take(&mut self, at: usize, steps: Vec<Step>) {
-        for Step { attempt, decision } in steps {
+    fn take(&mut self, at: usize, steps: Vec<AttemptDecision>) {
+        for AttemptDecision { attempt, decision } in steps {
             let instance = &mut self.instances[at];
             let Some(&key) = instance.pending.get(&attempt) else {
                 self.faults
@@ -462,9 +465,9 @@
         let mut pending: Vec<Attempt> = instance.pending.keys().copied().collect();
         pending.sort();
         if let Some(&attempt) = pending.get(which)
-            && let Some(decision) = instance.claimant.on_holder_gone(now, attempt)
+            && let Some(decision) = instance.claimant.on_holder_unreachable(now, attempt)
         {
-            self.take(at, vec![Step { attempt, decision }]);
+            self.take(at, vec![AttemptDecision { attempt, decision }]);
         }
     }
 
--- a/crates/server/examples/measure_at_most_once.rs
+++ b/crates/server/examples/measure_at_most_once.rs
@@ -118,10 +118,10 @@
     let mut rng = StdRng::seed_from_u64(1);
     let limits = BatchLimits {
         interval_ms: interval_ms(appenders, APPENDS_PER_S),
-        mark_interval_ms: u64::MAX / 2,
+        heartbeat_interval_ms: u64::MAX / 2,
         max_entries: 512,
         max_bytes: 60_000,
-        max_waiting: 4_096,
+        max_pending: 4_096,
     };
     let mut waits_ms = Vec::new();
     let (mut appends, mut entries) = (0, 0);
--- a/crates/server/src/claims.rs
+++ b/crates/server/src/claims.rs
@@ -13,8 +13,8 @@
     claim_batcher::{AppendResult, BatchLimits, interval_ms},
     claim_index::{ClaimRecord, IndexLimits},
     claimant::{
-        Attempt, Begun, ClaimLimits, ClaimReason, ClaimRequest, Claimant, Decision, Ending, Permit,
-        Step,
+        Attempt, AttemptDecision, ClaimLimits, ClaimReason, ClaimRequest, Claimant, Decision,
+        Ending, Permit, StartedAttempt,
     },
     ids::{Incarnation, Offset},
     outcome::Outcome,
@@ -58,8 +58,8 @@
 }
 
 impl State {
-    fn tell(&mut self, steps: Vec<Step>) {
-        for Step { attempt, decision } in steps {
+    fn tell(&mut self, steps: Vec<AttemptDecision>) {
+        for AttemptDecision { attempt, decision } in steps {
             if let Some(sender) = self.attempts.get(&attempt) {
                 // Nobody listens when the request has ended.
                 let _ = sender.send(decision);
@@ -99,10 +99,10 @@
             batch: BatchLimits {
                 interval_ms: interval_ms(1, settings.claims.appends_per_s),
                 // Not all instances at the same moment.
-                mark_interval_ms: random_range(mark_ms / 2..=mark_ms),
+                heartbeat_interval_ms: random_range(mark_ms / 2..=mark_ms),
                 max_entries: claims::MAX_ENTRIES,
                 max_bytes: MAX_BATCH_BYTES,
-                max_waiting: MAX_WAITING,
+                max_pending: MAX_WAITING,
             },
             max_abandoned: MAX_ABANDONED,
         };
@@ -121,7 +121,7 @@
     pub(crate) fn begin(&self, now_ms: u64, ask: ClaimRequest) -> Claiming {
         let (sender, receiver) = mpsc::unbounded_channel();
         let mut state = self.lock();
-        let Begun { attempt, decision } = state.claimant.begin(now_ms, ask);
+        let StartedAttempt { attempt, decision } = state.claimant.begin(now_ms, ask);
         if let Some(decision) = decision {
             let _ = sender.send(decision);
         }
@@ -177,7 +177,7 @@
 
     /// Ends an attempt whose first run can't be asked.
     pub(crate) fn holder_gone(&self, now_ms: u64, attempt: Attempt) -> Option<Decision> {
-        self.lock().claimant.on_holder_gone(now_ms, attempt)
+        self.lock().claimant.on_holder_unreachable(now_ms, attempt)
     }
 
     /// Ends an attempt when the log says how the first run ended.
--- a/crates/server/src/tickets.rs
+++ b/crates/server/src/tickets.rs
@@ -28,7 +28,7 @@
         let valid_ms = settings.claims.ticket_valid_ms;
         let limits = TicketLimits {
             valid_ms,
-            keep_ms: 2 * settings.limits.max_deadline_ms,
+            retain_expired_ms: 2 * settings.limits.max_deadline_ms,
             max_per_workspace: MAX_PER_WORKSPACE,
             max_total: MAX_TOTAL,
         };
