--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -1,4 +1,5 @@
-//! Records of the claim stream: who may run a non-idempotent request.
+//! Records of the claim stream, which decides which attempt may run a
+//! non-idempotent request.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -11,7 +12,7 @@
     outcome::Outcome,
 };
 
-/// Largest answer that a [`Completion`] carries, in bytes.
+/// Largest response body that a [`Completion`] stores, in bytes.
 pub const MAX_ANSWER_BYTES: usize = 1024;
 
 const HASH_BYTES: usize = 16;
@@ -22,7 +23,7 @@
 pub struct KeyHash(pub [u8; HASH_BYTES]);
 
 impl KeyHash {
-    /// Hashes the key of one workspace.
+    /// Hashes a key together with the workspace that scopes it.
     pub fn of(workspace: &WorkspaceName, key: &IdempotencyKey) -> Self {
         Self(digest(&[
             workspace.as_str().as_bytes(),
@@ -31,7 +32,8 @@
     }
 }
 
-/// Hash of what a request asks for; two requests under one key have to agree.
+/// Hash of a request's content. Requests under the same key must have the same
+/// fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fingerprint(pub [u8; HASH_BYTES]);
@@ -43,8 +45,8 @@
     }
 }
 
-/// Hashes the parts with their lengths, so that no two lists of parts collide
-/// by where they are cut.
+/// Hashes each part prefixed with its length, so that lists that differ only in
+/// where the parts are split have different hashes.
 fn digest(parts: &[&[u8]]) -> [u8; HASH_BYTES] {
     let mut hasher = Sha256::new();
     for part in parts {
@@ -52,40 +54,42 @@
         hasher.update(part);
     }
     let full = hasher.finalize();
-    let mut short = [0; HASH_BYTES];
-    short.copy_from_slice(&full[..HASH_BYTES]);
-    short
+    let mut truncated = [0; HASH_BYTES];
+    truncated.copy_from_slice(&full[..HASH_BYTES]);
+    truncated
 }
 
-/// Identifies one claim; a repeated append of it is the same claim.
+/// Identifies one claim. Repeated appends of the claim carry the same ID.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClaimId {
-    /// Incarnation of the claimant.
+    /// Incarnation of the instance that claims the key.
     pub incarnation: Incarnation,
-    /// Number of the claim, unique within the incarnation.
+    /// Sequence number of the claim, unique within the incarnation.
     pub seq: u64,
 }
 
-/// Place of an entry in the claim stream; the lowest one wins.
+/// Position of an entry in the claim stream. The claim with the lowest position
+/// wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Position {
     /// Offset of the batch.
     pub offset: Offset,
-    /// Index of the entry within it.
+    /// Index of the entry within the batch.
     pub index: u32,
 }
 
-/// How the run of a claim ended.
+/// Result of the run of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Completion {
-    /// Outcome that its caller was told.
+    /// Outcome that was returned to the caller.
     pub outcome: Outcome,
-    /// Body of its answer, when it is small enough to be kept.
+    /// Response body; `None` when it is larger than [`MAX_ANSWER_BYTES`].
     pub answer: Option<Vec<u8>>,
 }
 
 impl Completion {
-    /// Keeps `answer` when it is at most [`MAX_ANSWER_BYTES`] long.
+    /// Creates a completion that stores `answer` if it is at most
+    /// [`MAX_ANSWER_BYTES`] long.
     pub fn new(outcome: Outcome, answer: &[u8]) -> Self {
         let fits = answer.len() <= MAX_ANSWER_BYTES;
         Self {
@@ -94,56 +98,56 @@
         }
     }
 
-    /// Tells whether there is an answer that is not kept here.
-    pub fn is_answer_missing(&self) -> bool {
+    /// Returns whether the run has a response body that is not stored here.
+    pub fn is_answer_omitted(&self) -> bool {
         self.outcome == Outcome::Complete && self.answer.is_none()
     }
 }
 
-/// One entry of a batch.
+/// An entry of a batch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
     /// Claims a key.
     Claim {
-        /// Key that is claimed.
+        /// Claimed key.
         key: KeyHash,
-        /// Claim, unique to this attempt.
+        /// ID of the claim, unique to this attempt.
         id: ClaimId,
-        /// What the request asks for.
+        /// Fingerprint of the request.
         fingerprint: Fingerprint,
-        /// Instance of the claimant, which has the answer.
+        /// Instance that made the claim and has the response.
         instance: InstanceName,
     },
-    /// Gives a claim up; its claimant has sent no non-idempotent call on it and
-    /// never will.
+    /// Releases a claim. The claimant has sent no non-idempotent call under it
+    /// and never will.
     Release {
-        /// Key that was claimed.
+        /// Claimed key.
         key: KeyHash,
-        /// Claim that is given up.
+        /// ID of the released claim.
         id: ClaimId,
-        /// Whether an idempotent call was sent on it.
+        /// Whether an idempotent call was sent under it.
         ran: bool,
     },
-    /// Says how the run of a claim ended.
+    /// Records the result of the run of a claim.
     Done {
-        /// Key that was claimed.
+        /// Claimed key.
         key: KeyHash,
-        /// Claim that was run.
+        /// ID of the claim that was run.
         id: ClaimId,
-        /// How it ended.
+        /// Result of the run.
         completion: Completion,
     },
 }
 
 impl Entry {
-    /// Returns the key that this entry is about.
+    /// Returns the key that this entry applies to.
     pub fn key(&self) -> KeyHash {
         match self {
             Self::Claim { key, .. } | Self::Release { key, .. } | Self::Done { key, .. } => *key,
         }
     }
 
-    /// Returns the claim that this entry is about.
+    /// Returns the ID of the claim that this entry applies to.
     pub fn id(&self) -> ClaimId {
         match self {
             Self::Claim { id, .. } | Self::Release { id, .. } | Self::Done { id, .. } => *id,
@@ -163,8 +167,8 @@
     }
 }
 
-/// Payload of one record of the claim stream. An empty one only shows what time
-/// the log's clock has reached.
+/// Payload of one record of the claim stream. An empty batch only advances the
+/// time of the log's clock as seen by readers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
     /// Entries in the order in which they take effect.
--- a/crates/core/src/claim_batcher.rs
+++ b/crates/core/src/claim_batcher.rs
@@ -1,5 +1,5 @@
-//! Group commit of claim entries: one append in flight, a bounded number of
-//! appends a second.
+//! Group commit of claim entries, with one append in flight at a time and a
+//! bounded append rate.
 
 use std::collections::VecDeque;
 
@@ -8,124 +8,129 @@
 /// Bounds of a [`ClaimBatcher`].
 #[derive(Clone, Copy, Debug)]
 pub struct BatchLimits {
-    /// Shortest time between the starts of two appends, in ms.
+    /// Minimum time between the starts of two appends, in ms.
     pub interval_ms: u64,
-    /// Time without a record after which an empty one is appended, in ms.
+    /// Time without a record after which an empty batch is appended, in ms.
     pub heartbeat_interval_ms: u64,
-    /// Most entries of one batch.
+    /// Maximum number of entries in a batch.
     pub max_entries: usize,
-    /// Most bytes of one batch.
+    /// Maximum size of a batch, in bytes.
     pub max_bytes: usize,
-    /// Most entries that wait.
+    /// Maximum number of entries that wait to be appended.
     pub max_pending: usize,
 }
 
-/// Returns the time between appends that keeps `appenders` instances together
-/// under `appends_per_s`, in ms.
+/// Returns the append interval at which `appenders` instances together stay
+/// within `appends_per_s`, in ms.
 pub fn interval_ms(appenders: u64, appends_per_s: u64) -> u64 {
     const MS_PER_S: u64 = 1000;
     (appenders.max(1) * MS_PER_S).div_ceil(appends_per_s.max(1))
 }
 
-/// How an append ended, as far as its sender can tell.
+/// Result of an append as seen by its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendResult {
-    /// The log answered with an offset.
+    /// The log returned an offset.
     Appended,
-    /// It was refused, or it may have taken effect and the answer is missing.
-    /// Either way it is appended again: entries take effect once.
+    /// The append was refused, or its response was lost and it may have taken
+    /// effect. It is retried in both cases, because entries take effect once.
     NotConfirmed,
 }
 
-/// An entry that waits, and whether it was in an append before.
+/// An entry that waits to be appended.
 #[derive(Debug)]
-struct Waiting {
+struct PendingEntry {
     entry: Entry,
-    tried: bool,
+    /// Whether an earlier append contained the entry.
+    was_attempted: bool,
 }
 
-/// Entries on their way to the claim stream.
+/// Queue of entries to append to the claim stream.
 #[derive(Debug)]
 pub struct ClaimBatcher {
     limits: BatchLimits,
-    waiting: VecDeque<Waiting>,
+    pending: VecDeque<PendingEntry>,
     in_flight: Option<Batch>,
-    next_at_ms: u64,
+    next_append_at_ms: u64,
     failures: u32,
-    recorded_at_ms: u64,
-    has_begun: bool,
+    last_record_at_ms: u64,
+    has_appended: bool,
 }
 
 impl ClaimBatcher {
-    /// Creates a batcher with nothing to append.
+    /// Creates an empty batcher.
     pub fn new(limits: BatchLimits) -> Self {
         Self {
             limits,
-            waiting: VecDeque::new(),
+            pending: VecDeque::new(),
             in_flight: None,
-            next_at_ms: 0,
+            next_append_at_ms: 0,
             failures: 0,
-            recorded_at_ms: 0,
-            has_begun: false,
+            last_record_at_ms: 0,
+            has_appended: false,
         }
     }
 
-    /// Changes the shortest time between two appends, in ms.
+    /// Sets the minimum time between two appends, in ms.
     pub fn set_interval_ms(&mut self, interval_ms: u64) {
         self.limits.interval_ms = interval_ms;
     }
 
-    /// Tells whether another claim can wait. Releases and completions of claims
-    /// that were let in are never refused, and there are no more of them than
-    /// of claims.
-    pub fn has_room(&self) -> bool {
-        self.waiting.len() < self.limits.max_pending
+    /// Returns whether another claim can be queued. Releases and completions of
+    /// accepted claims are always queued; there is at most one for each claim.
+    pub fn has_capacity(&self) -> bool {
+        self.pending.len() < self.limits.max_pending
     }
 
     /// Adds an entry to one of the next batches.
     pub fn push(&mut self, entry: Entry) {
-        let tried = false;
-        self.waiting.push_back(Waiting { entry, tried });
+        let was_attempted = false;
+        self.pending.push_back(PendingEntry {
+            entry,
+            was_attempted,
+        });
     }
 
-    /// Takes back a claim that is not being appended; tells whether it never
-    /// was, so that it can't turn up in the log.
+    /// Removes a claim that is not in the append in flight. Returns whether the
+    /// claim was never in an append and so cannot appear in the log.
     pub fn withdraw(&mut self, id: ClaimId) -> bool {
-        let is_meant = |entry: &Entry| matches!(entry, Entry::Claim { .. }) && entry.id() == id;
-        let found = self
-            .waiting
+        let is_claim = |entry: &Entry| matches!(entry, Entry::Claim { .. }) && entry.id() == id;
+        let index = self
+            .pending
             .iter()
-            .position(|waiting| is_meant(&waiting.entry));
-        let withdrawn = found.and_then(|at| self.waiting.remove(at));
-        withdrawn.is_some_and(|waiting| !waiting.tried)
+            .position(|pending| is_claim(&pending.entry));
+        let withdrawn = index.and_then(|index| self.pending.remove(index));
+        withdrawn.is_some_and(|pending| !pending.was_attempted)
     }
 
-    /// Tells whether nothing waits and no append is in flight.
+    /// Returns whether the queue is empty and no append is in flight.
     pub fn is_idle(&self) -> bool {
-        self.waiting.is_empty() && self.in_flight.is_none()
+        self.pending.is_empty() && self.in_flight.is_none()
     }
 
-    /// Tells whether the log takes no appends, as far as the last ones show.
+    /// Returns whether the log counts as unavailable because recent appends were
+    /// not confirmed.
     pub fn is_log_unavailable(&self) -> bool {
-        self.failures >= FAILURES_TO_AWAY
+        self.failures >= UNAVAILABLE_AFTER_FAILURES
     }
 
-    /// Returns when [`poll`](Self::poll) has something to append, in ms; `None`
-    /// while an append is in flight.
+    /// Returns the time at which [`poll`](Self::poll) has a batch to append, in
+    /// ms; `None` while an append is in flight.
     pub fn due_at_ms(&self) -> Option<u64> {
         if self.in_flight.is_some() {
             return None;
         }
-        if !self.waiting.is_empty() || self.is_log_unavailable() || !self.has_begun {
-            return Some(self.next_at_ms);
+        if !self.pending.is_empty() || self.is_log_unavailable() || !self.has_appended {
+            return Some(self.next_append_at_ms);
         }
-        let mark_at_ms = self.recorded_at_ms + self.limits.heartbeat_interval_ms;
-        Some(mark_at_ms.max(self.next_at_ms))
+        let heartbeat_at_ms = self.last_record_at_ms + self.limits.heartbeat_interval_ms;
+        Some(heartbeat_at_ms.max(self.next_append_at_ms))
     }
 
-    /// Takes the batch to append now, if there is one. At the beginning, with
-    /// nothing to append for a while, and while the log is away, it is an empty
-    /// one: it shows how far the log's clock is, and that the log is back.
+    /// Returns the batch to append now, if one is due. An empty batch is due at
+    /// the start, after a time without records, and while the log is unavailable.
+    /// It advances the log's clock for readers and detects that the log is
+    /// available again.
     pub fn poll(&mut self, now_ms: u64) -> Option<&Batch> {
         if self.due_at_ms()? > now_ms {
             return None;
@@ -135,38 +140,38 @@
         } else {
             self.limits.interval_ms
         };
-        self.next_at_ms = now_ms + wait_ms;
-        self.has_begun = true;
+        self.next_append_at_ms = now_ms + wait_ms;
+        self.has_appended = true;
         let batch = self.take_batch();
         Some(self.in_flight.insert(batch))
     }
 
     fn take_batch(&mut self) -> Batch {
         let mut bytes = 0;
-        let fits = |waiting: &&Waiting| {
-            bytes += waiting.entry.max_encoded_bytes();
+        let fits = |pending: &&PendingEntry| {
+            bytes += pending.entry.max_encoded_bytes();
             bytes <= self.limits.max_bytes
         };
-        let within = self.waiting.iter().take_while(fits).count();
-        let count = within.clamp(1, self.limits.max_entries);
-        let count = count.min(self.waiting.len());
+        let fitting = self.pending.iter().take_while(fits).count();
+        let count = fitting.clamp(1, self.limits.max_entries);
+        let count = count.min(self.pending.len());
         Batch {
             entries: self
-                .waiting
+                .pending
                 .drain(..count)
-                .map(|waiting| waiting.entry)
+                .map(|pending| pending.entry)
                 .collect(),
         }
     }
 
-    /// Notes that a record was read at `now_ms`, whoever appended it.
+    /// Notes that a record, appended by any instance, was read at `now_ms`.
     pub fn on_record(&mut self, now_ms: u64) {
-        self.recorded_at_ms = now_ms;
+        self.last_record_at_ms = now_ms;
     }
 
-    /// Notes how the append in flight ended; of one that is not confirmed the
-    /// entries that are still `wanted` are appended again.
-    pub fn on_result(&mut self, result: AppendResult, wanted: impl Fn(&Entry) -> bool) {
+    /// Handles the result of the append in flight. The entries of an unconfirmed
+    /// append for which `should_retry` is true are queued again.
+    pub fn on_result(&mut self, result: AppendResult, should_retry: impl Fn(&Entry) -> bool) {
         let Some(batch) = self.in_flight.take() else {
             return;
         };
@@ -179,16 +184,19 @@
             .entries
             .into_iter()
             .rev()
-            .filter(|entry| wanted(entry))
+            .filter(|entry| should_retry(entry))
         {
-            let tried = true;
-            self.waiting.push_front(Waiting { entry, tried });
+            let was_attempted = true;
+            self.pending.push_front(PendingEntry {
+                entry,
+                was_attempted,
+            });
         }
     }
 }
 
-/// Appends not confirmed in a row after which the log counts as away.
-const FAILURES_TO_AWAY: u32 = 2;
+/// Consecutive unconfirmed appends after which the log counts as unavailable.
+const UNAVAILABLE_AFTER_FAILURES: u32 = 2;
 
-/// Time between two appends while they are not confirmed, in ms.
+/// Minimum time between two appends while they are not confirmed, in ms.
 const RETRY_MS: u64 = 100;
--- a/crates/core/src/claim_decision.rs
+++ b/crates/core/src/claim_decision.rs
@@ -1,4 +1,4 @@
-//! What is asked and decided about claims.
+//! Requests for claims and the decisions on them.
 
 use crate::{
     claim::{ClaimId, Completion, Fingerprint, KeyHash},
@@ -7,39 +7,39 @@
     outcome::Outcome,
 };
 
-/// One attempt of a caller at one instance; the number is local.
+/// ID of one attempt to run a request, local to the instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Attempt(pub u64);
 
-/// What an attempt asks for.
+/// Request for a claim.
 #[derive(Clone, Copy, Debug)]
 pub struct ClaimRequest {
-    /// Key that it claims.
+    /// Key to claim.
     pub key: KeyHash,
-    /// What the request asks for.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Time by which it has to be decided, in ms.
+    /// Time at which the attempt ends if it is not decided, in ms.
     pub deadline_ms: u64,
 }
 
-/// Why an attempt ended, or a call may not be sent.
+/// Reason why an attempt ended or a call may not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimReason {
-    /// Records that the decision depends on are missing here.
+    /// The index lacks records that the decision depends on.
     IndexIncomplete,
-    /// The log takes no appends.
+    /// The log does not accept appends.
     LogUnavailable,
-    /// Too many claims wait to be appended.
+    /// Too many entries wait to be appended.
     Busy,
-    /// The claim was not read back in time.
+    /// The deadline passed.
     Deadline,
-    /// The caller has closed its connection.
+    /// The caller closed its connection.
     CallerGone,
-    /// The claim is too old to be acted on.
+    /// The claim is too old to send calls under it.
     ClaimTooOld,
-    /// The instance that holds the key gives no answer.
+    /// The instance that holds the key does not respond.
     HolderUnreachable,
-    /// The call was handed out before.
+    /// The call was already sent.
     AlreadySent,
     /// The attempt does not hold its key.
     NotHolder,
@@ -48,7 +48,7 @@
 }
 
 impl ClaimReason {
-    /// Returns the name used in answers, logs and metrics.
+    /// Returns the name used in responses, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::IndexIncomplete => "claims_incomplete",
@@ -65,21 +65,21 @@
     }
 }
 
-/// How an attempt ended that has no answer of its own.
+/// End of an attempt that has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ending {
-    /// What its caller is told.
+    /// Outcome returned to the caller.
     pub outcome: Outcome,
-    /// Why.
+    /// Reason for the end.
     pub reason: ClaimReason,
 }
 
-/// The run that others under the same key wait for.
+/// The run that other attempts under the same key wait for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FirstRun {
-    /// Instance that has it.
+    /// Instance that runs it.
     pub instance: InstanceName,
-    /// Its claim.
+    /// ID of its claim.
     pub id: ClaimId,
 }
 
@@ -92,45 +92,45 @@
     }
 }
 
-/// What was decided about an attempt.
+/// Decision on an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It holds the key and may run, with a permit for each call.
+    /// The attempt holds the key and may run; each call needs a [`Permit`].
     Won,
-    /// Another claim holds the key: the answer is to be asked for from its
-    /// claimant. Another decision may follow.
+    /// Another claim holds the key. The caller requests the response from the
+    /// instance of that claim. Another decision may follow.
     Join(FirstRun),
-    /// The first run ended like this.
+    /// The first run ended with this result.
     Recorded(Completion),
-    /// The key was used for another request.
+    /// The key was used for a different request.
     Misuse,
     /// The attempt ended.
     Ended(Ending),
 }
 
-/// An attempt that has begun.
+/// An attempt that was started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartedAttempt {
-    /// The attempt.
+    /// ID of the attempt.
     pub attempt: Attempt,
-    /// What is decided about it already.
+    /// Decision, if one could be made immediately.
     pub decision: Option<Decision>,
 }
 
-/// A decision and the attempt that it is about.
+/// A decision on one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptDecision {
-    /// Attempt that was decided.
+    /// ID of the attempt.
     pub attempt: Attempt,
-    /// What was decided.
+    /// Decision on it.
     pub decision: Decision,
 }
 
-/// Whether a call may be handed to a socket.
+/// Whether a call may be written to a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permit {
-    /// It may, now and once.
+    /// The call may be sent once, now.
     Send,
-    /// It may not.
+    /// The call may not be sent.
     Refused(ClaimReason),
 }
--- a/crates/core/src/claim_index.rs
+++ b/crates/core/src/claim_index.rs
@@ -1,10 +1,9 @@
-//! What the claim stream says about each key, decided from records read back
-//! in order.
+//! State of each key, computed from the records of the claim stream in order.
 //!
-//! A key is remembered until no entry has named it for the window, by the log's
-//! clock. Every entry counts for that, also one that changes nothing: so when a
-//! key is forgotten depends only on which records there are, and an index that
-//! began reading later forgets it at the same record as one that read them all.
+//! A key is evicted once no entry has named it for the window, by the log's
+//! clock. Entries that change nothing count as well. The time of eviction
+//! therefore depends only on the records, and an index that started to read
+//! later evicts a key at the same record as one that read all of them.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -16,75 +15,77 @@
 /// Bounds of a [`ClaimIndex`].
 #[derive(Clone, Copy, Debug)]
 pub struct IndexLimits {
-    /// Time that a key is remembered after its last entry, in ms.
+    /// Time for which a key is retained after its last entry, in ms.
     pub window_ms: u64,
-    /// Most keys held; one more and the index starts again, incomplete.
+    /// Maximum number of keys. An index that exceeds it is cleared and is
+    /// incomplete.
     pub max_keys: usize,
-    /// Most bytes of answers held; the oldest are dropped first.
+    /// Maximum total size of response bodies, in bytes. The oldest are evicted
+    /// first.
     pub max_answer_bytes: usize,
 }
 
-/// A record of the claim stream as it was read back.
+/// A record of the claim stream as read from the log.
 #[derive(Clone, Copy, Debug)]
 pub struct ClaimRecord<'a> {
     /// Offset of the record.
     pub offset: Offset,
     /// Time of the append by the log's clock, in ms.
     pub appended_at_ms: u64,
-    /// Its batch; `None` when the payload couldn't be understood.
+    /// Decoded batch; `None` when the payload could not be decoded.
     pub batch: Option<&'a Batch>,
 }
 
 /// The claim that holds a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holder {
-    /// The claim.
+    /// ID of the claim.
     pub id: ClaimId,
-    /// Instance of its claimant.
+    /// Instance that made the claim.
     pub instance: InstanceName,
-    /// What its request asks for.
+    /// Fingerprint of its request.
     pub fingerprint: Fingerprint,
-    /// Where it stands.
+    /// Position in the claim stream.
     pub position: Position,
     /// Time of its append by the log's clock, in ms.
     pub claimed_at_ms: u64,
 }
 
-/// What is known of a key.
+/// Status of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing<'a> {
+pub enum KeyStatus<'a> {
     /// No claim holds it.
     Free,
-    /// A claim holds it, and its run has not been recorded as ended.
+    /// A claim holds it, and no result of its run is recorded.
     Claimed(&'a Holder),
-    /// The run of the claim that holds it has ended.
+    /// The run of the claim that holds it has a recorded result.
     Done(&'a Holder, &'a Completion),
 }
 
-/// What the index says of one claim.
+/// Status of one claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// It holds the key, and nothing that could change that is missing.
+pub enum ClaimStatus {
+    /// It holds the key, and all records that could change that were read.
     Won {
-        /// Whether no call at all was sent under the key before.
-        untouched: bool,
+        /// Whether it is certain that no call was sent under the key before.
+        no_prior_calls: bool,
     },
-    /// It holds the key as far as the records that were read go, but earlier
-    /// ones that matter may be missing.
+    /// It holds the key according to the records that were read, but relevant
+    /// earlier records may be missing.
     Undecidable,
     /// It does not hold the key.
     NotHeld,
 }
 
-/// Since when an index has read every record.
+/// Range of the stream from which an index has read every record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Coverage {
-    /// It has read none.
+    /// No record was read.
     Nothing,
-    /// From the stream's beginning.
-    Whole,
-    /// From this time of the log's clock on, in ms.
-    Since(u64),
+    /// All records from the beginning of the stream.
+    Complete,
+    /// All records from this time of the log's clock, in ms.
+    From(u64),
 }
 
 #[derive(Debug)]
@@ -105,11 +106,11 @@
 
 #[derive(Debug)]
 struct KeyEntry {
-    first_ms: u64,
-    last_ms: u64,
+    first_entry_ms: u64,
+    last_entry_ms: u64,
     state: KeyState,
-    /// Claims that were released: a copy of one that is appended later must
-    /// not hold the key again.
+    /// Released claims. A duplicate append of one of them must not acquire the
+    /// key again.
     released: Vec<ClaimId>,
     ran: bool,
 }
@@ -117,8 +118,8 @@
 impl KeyEntry {
     fn new(now_ms: u64) -> Self {
         Self {
-            first_ms: now_ms,
-            last_ms: now_ms,
+            first_entry_ms: now_ms,
+            last_entry_ms: now_ms,
             state: KeyState::Free,
             released: Vec::new(),
             ran: false,
@@ -180,7 +181,7 @@
     }
 }
 
-/// Keys and their claims, by the order of the claim stream.
+/// Index of keys and their claims, built by applying the claim stream in order.
 #[derive(Debug)]
 pub struct ClaimIndex {
     limits: IndexLimits,
@@ -188,14 +189,14 @@
     coverage: Coverage,
     time_ms: u64,
     keys: HashMap<KeyHash, KeyEntry>,
-    /// A key for each of its entries, in log order.
-    expiries: VecDeque<(u64, KeyHash)>,
-    answers: VecDeque<KeyHash>,
+    /// Time and key of each entry, in log order.
+    entry_times: VecDeque<(u64, KeyHash)>,
+    answer_order: VecDeque<KeyHash>,
     answer_bytes: usize,
 }
 
 impl ClaimIndex {
-    /// Creates an index that has read nothing.
+    /// Creates an empty index.
     pub fn new(limits: IndexLimits) -> Self {
         Self {
             limits,
@@ -203,8 +204,8 @@
             coverage: Coverage::Nothing,
             time_ms: 0,
             keys: HashMap::new(),
-            expiries: VecDeque::new(),
-            answers: VecDeque::new(),
+            entry_times: VecDeque::new(),
+            answer_order: VecDeque::new(),
             answer_bytes: 0,
         }
     }
@@ -214,42 +215,43 @@
         self.next.unwrap_or_default()
     }
 
-    /// Returns the latest time of the log's clock that was read, in ms.
+    /// Returns the latest time of the log's clock in the applied records, in ms.
     pub fn time_ms(&self) -> u64 {
         self.time_ms
     }
 
-    /// Returns the time that a key is remembered, in ms.
+    /// Returns the time for which a key is retained, in ms.
     pub fn window_ms(&self) -> u64 {
         self.limits.window_ms
     }
 
-    /// Returns the number of keys remembered.
+    /// Returns the number of keys in the index.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Tells whether no key is remembered.
+    /// Returns whether the index has no keys.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// Tells whether a claim appended now could be decided.
+    /// Returns whether a claim appended now could be decided.
     pub fn is_complete(&self) -> bool {
         self.covers(self.time_ms)
     }
 
     /// Applies one record and returns the keys that it names.
     ///
-    /// Records before [`next`](Self::next) were applied already and are
-    /// skipped. A record beyond it means that some were missed, and one that
-    /// can't be understood counts as missed: the index starts again from there.
+    /// Skips records before [`next`](Self::next), which were already applied. A
+    /// record after it means that records are missing, and a record that could
+    /// not be decoded counts as missing. In both cases the index is cleared and
+    /// restarts at this record.
     pub fn apply(&mut self, record: &ClaimRecord<'_>) -> Vec<KeyHash> {
         if record.offset < self.next() {
             return Vec::new();
         }
         let now_ms = self.time_ms.max(record.appended_at_ms);
-        self.note_coverage(record, now_ms);
+        self.update_coverage(record, now_ms);
         self.time_ms = now_ms;
         self.next = Some(record.offset.next());
         let Some(batch) = record.batch else {
@@ -263,121 +265,121 @@
             self.apply_entry(entry, position);
         }
         self.expire();
-        self.bound();
+        self.enforce_limits();
         batch.entries.iter().map(Entry::key).collect()
     }
 
-    fn note_coverage(&mut self, record: &ClaimRecord<'_>, now_ms: u64) {
+    fn update_coverage(&mut self, record: &ClaimRecord<'_>, now_ms: u64) {
         let follows = self.next == Some(record.offset);
         if record.batch.is_none() || !(follows || record.offset == Offset(0)) {
-            self.restart(now_ms);
+            self.reset(now_ms);
         } else if !follows {
-            self.coverage = Coverage::Whole;
+            self.coverage = Coverage::Complete;
         }
     }
 
-    /// Forgets everything: what a record that was missed changed is not known.
-    fn restart(&mut self, now_ms: u64) {
-        self.coverage = Coverage::Since(now_ms);
+    /// Clears the index, because the effect of a missing record is not known.
+    fn reset(&mut self, now_ms: u64) {
+        self.coverage = Coverage::From(now_ms);
         self.keys.clear();
-        self.expiries.clear();
-        self.answers.clear();
+        self.entry_times.clear();
+        self.answer_order.clear();
         self.answer_bytes = 0;
     }
 
     fn apply_entry(&mut self, entry: &Entry, position: Position) {
         let now_ms = self.time_ms;
         let key = entry.key();
-        let known = self
+        let key_entry = self
             .keys
             .entry(key)
             .or_insert_with(|| KeyEntry::new(now_ms));
-        if is_past(known.last_ms, self.limits.window_ms, now_ms) {
-            self.answer_bytes -= known.answer_bytes();
-            *known = KeyEntry::new(now_ms);
+        if is_expired(key_entry.last_entry_ms, self.limits.window_ms, now_ms) {
+            self.answer_bytes -= key_entry.answer_bytes();
+            *key_entry = KeyEntry::new(now_ms);
         }
-        known.last_ms = now_ms;
-        let before = known.answer_bytes();
-        known.apply(entry, position, now_ms);
-        let added = known.answer_bytes() - before;
-        if added > 0 {
-            self.answer_bytes += added;
-            self.answers.push_back(key);
+        key_entry.last_entry_ms = now_ms;
+        let old_bytes = key_entry.answer_bytes();
+        key_entry.apply(entry, position, now_ms);
+        let added_bytes = key_entry.answer_bytes() - old_bytes;
+        if added_bytes > 0 {
+            self.answer_bytes += added_bytes;
+            self.answer_order.push_back(key);
         }
-        self.expiries.push_back((now_ms, key));
+        self.entry_times.push_back((now_ms, key));
     }
 
     fn expire(&mut self) {
         let window_ms = self.limits.window_ms;
-        while let Some(&(named_ms, key)) = self.expiries.front()
-            && is_past(named_ms, window_ms, self.time_ms)
+        while let Some(&(entry_ms, key)) = self.entry_times.front()
+            && is_expired(entry_ms, window_ms, self.time_ms)
         {
-            self.expiries.pop_front();
-            let is_over = self
-                .keys
-                .get(&key)
-                .is_some_and(|known| is_past(known.last_ms, window_ms, self.time_ms));
-            if is_over && let Some(known) = self.keys.remove(&key) {
-                self.answer_bytes -= known.answer_bytes();
+            self.entry_times.pop_front();
+            let key_expired = self.keys.get(&key).is_some_and(|key_entry| {
+                is_expired(key_entry.last_entry_ms, window_ms, self.time_ms)
+            });
+            if key_expired && let Some(key_entry) = self.keys.remove(&key) {
+                self.answer_bytes -= key_entry.answer_bytes();
             }
         }
     }
 
-    fn bound(&mut self) {
+    fn enforce_limits(&mut self) {
         while self.answer_bytes > self.limits.max_answer_bytes
-            && let Some(key) = self.answers.pop_front()
+            && let Some(key) = self.answer_order.pop_front()
         {
-            if let Some(known) = self.keys.get_mut(&key) {
-                self.answer_bytes -= known.answer_bytes();
-                known.drop_answer();
+            if let Some(key_entry) = self.keys.get_mut(&key) {
+                self.answer_bytes -= key_entry.answer_bytes();
+                key_entry.drop_answer();
             }
         }
-        let max_expiries = self.limits.max_keys.saturating_mul(EXPIRIES_PER_KEY);
-        if self.keys.len() > self.limits.max_keys || self.expiries.len() > max_expiries {
-            self.restart(self.time_ms);
+        let max_entries = self.limits.max_keys.saturating_mul(MAX_ENTRIES_PER_KEY);
+        if self.keys.len() > self.limits.max_keys || self.entry_times.len() > max_entries {
+            self.reset(self.time_ms);
         }
     }
 
-    /// Returns what is known of `key`.
-    pub fn standing(&self, key: &KeyHash) -> Standing<'_> {
-        match self.keys.get(key).map(|known| &known.state) {
-            None | Some(KeyState::Free) => Standing::Free,
-            Some(KeyState::Claimed(holder)) => Standing::Claimed(holder),
-            Some(KeyState::Done(holder, completion)) => Standing::Done(holder, completion),
+    /// Returns the status of `key`.
+    pub fn key_status(&self, key: &KeyHash) -> KeyStatus<'_> {
+        match self.keys.get(key).map(|key_entry| &key_entry.state) {
+            None | Some(KeyState::Free) => KeyStatus::Free,
+            Some(KeyState::Claimed(holder)) => KeyStatus::Claimed(holder),
+            Some(KeyState::Done(holder, completion)) => KeyStatus::Done(holder, completion),
         }
     }
 
-    /// Returns what is known of the claim `id` of `key`.
-    pub fn verdict(&self, key: &KeyHash, id: ClaimId) -> Verdict {
-        let Some(known) = self.keys.get(key) else {
-            return Verdict::NotHeld;
+    /// Returns the status of the claim `id` of `key`.
+    pub fn claim_status(&self, key: &KeyHash, id: ClaimId) -> ClaimStatus {
+        let Some(key_entry) = self.keys.get(key) else {
+            return ClaimStatus::NotHeld;
         };
-        match known.state.holder() {
+        match key_entry.state.holder() {
             Some(holder) if holder.id == id => {
                 if !self.covers(holder.claimed_at_ms) {
-                    return Verdict::Undecidable;
+                    return ClaimStatus::Undecidable;
                 }
-                Verdict::Won {
-                    untouched: !known.ran && self.covers(known.first_ms),
+                ClaimStatus::Won {
+                    no_prior_calls: !key_entry.ran && self.covers(key_entry.first_entry_ms),
                 }
             }
-            _ => Verdict::NotHeld,
+            _ => ClaimStatus::NotHeld,
         }
     }
 
-    /// Tells whether every record was read that a claim at `at_ms` depends on.
+    /// Returns whether all records that a claim at `at_ms` depends on were read.
     fn covers(&self, at_ms: u64) -> bool {
         match self.coverage {
             Coverage::Nothing => false,
-            Coverage::Whole => true,
-            Coverage::Since(since_ms) => is_past(since_ms, self.limits.window_ms, at_ms),
+            Coverage::Complete => true,
+            Coverage::From(start_ms) => is_expired(start_ms, self.limits.window_ms, at_ms),
         }
     }
 }
 
-/// Entries that a key has on average before the index counts as too large.
-const EXPIRIES_PER_KEY: usize = 8;
+/// Average number of entries for each key above which the index counts as too
+/// large.
+const MAX_ENTRIES_PER_KEY: usize = 8;
 
-fn is_past(from_ms: u64, window_ms: u64, now_ms: u64) -> bool {
-    from_ms.saturating_add(window_ms) < now_ms
+fn is_expired(start_ms: u64, window_ms: u64, now_ms: u64) -> bool {
+    start_ms.saturating_add(window_ms) < now_ms
 }
--- a/crates/core/src/claimant.rs
+++ b/crates/core/src/claimant.rs
@@ -10,7 +10,7 @@
 use crate::{
     claim::{Batch, ClaimId, Completion, Entry, KeyHash},
     claim_batcher::{AppendResult, BatchLimits, ClaimBatcher},
-    claim_index::{ClaimIndex, ClaimRecord, IndexLimits, Standing, Verdict},
+    claim_index::{ClaimIndex, ClaimRecord, ClaimStatus, IndexLimits, KeyStatus},
     ids::{Incarnation, InstanceName},
     outcome::Outcome,
     progress::{CallKind, Progress, Retraction},
@@ -32,7 +32,7 @@
 struct Hold {
     id: ClaimId,
     asked_ms: u64,
-    untouched: bool,
+    no_prior_calls: bool,
     progress: Progress,
 }
 
@@ -42,7 +42,7 @@
     fn unsent_outcome(&self, is_too_old: bool) -> Outcome {
         if self.progress.ran() {
             Outcome::Failed
-        } else if self.untouched && !is_too_old {
+        } else if self.no_prior_calls && !is_too_old {
             Outcome::NotRun
         } else {
             Outcome::NotStarted
@@ -133,19 +133,19 @@
 
     /// Decides from what holds the key, if anything does.
     fn look_up(&self, ask: &ClaimRequest) -> Option<Decision> {
-        match self.index.standing(&ask.key) {
-            Standing::Free => None,
-            Standing::Claimed(holder) | Standing::Done(holder, _)
+        match self.index.key_status(&ask.key) {
+            KeyStatus::Free => None,
+            KeyStatus::Claimed(holder) | KeyStatus::Done(holder, _)
                 if holder.fingerprint != ask.fingerprint =>
             {
                 Some(Decision::Misuse)
             }
-            Standing::Claimed(holder) => Some(Decision::Join(FirstRun::of(holder))),
+            KeyStatus::Claimed(holder) => Some(Decision::Join(FirstRun::of(holder))),
             // Its instance may still have what was too large for the log.
-            Standing::Done(holder, completion) if completion.is_answer_missing() => {
+            KeyStatus::Done(holder, completion) if completion.is_answer_omitted() => {
                 Some(Decision::Join(FirstRun::of(holder)))
             }
-            Standing::Done(_, completion) => Some(Decision::Recorded(completion.clone())),
+            KeyStatus::Done(_, completion) => Some(Decision::Recorded(completion.clone())),
         }
     }
 
@@ -183,7 +183,7 @@
             Some(ClaimReason::IndexIncomplete)
         } else if self.batcher.is_log_unavailable() {
             Some(ClaimReason::LogUnavailable)
-        } else if !self.batcher.has_room() {
+        } else if !self.batcher.has_capacity() {
             Some(ClaimReason::Busy)
         } else {
             None
@@ -264,7 +264,8 @@
         for entry in entries {
             let (key, id) = (entry.key(), entry.id());
             let is_abandoned = self.abandoned.contains_key(&id);
-            if is_abandoned && matches!(self.index.verdict(&key, id), Verdict::Won { .. }) {
+            if is_abandoned && matches!(self.index.claim_status(&key, id), ClaimStatus::Won { .. })
+            {
                 let ran = false;
                 self.batcher.push(Entry::Release { key, id, ran });
             }
@@ -277,14 +278,14 @@
         let ask = request.ask;
         let decision = match request.phase {
             Phase::Won(_) => None,
-            Phase::Waiting { id, asked_ms } => match self.index.verdict(&ask.key, id) {
-                Verdict::Won { untouched } => {
-                    return self.win(now_ms, attempt, id, asked_ms, untouched);
+            Phase::Waiting { id, asked_ms } => match self.index.claim_status(&ask.key, id) {
+                ClaimStatus::Won { no_prior_calls } => {
+                    return self.win(now_ms, attempt, id, asked_ms, no_prior_calls);
                 }
-                Verdict::Undecidable => {
+                ClaimStatus::Undecidable => {
                     return self.end_waiting(now_ms, attempt, ClaimReason::IndexIncomplete);
                 }
-                Verdict::NotHeld => {
+                ClaimStatus::NotHeld => {
                     let lost = self.look_up(&ask);
                     if lost.is_some() {
                         self.withdraw(now_ms, id, ask.key);
@@ -308,12 +309,12 @@
         attempt: Attempt,
         id: ClaimId,
         asked_ms: u64,
-        untouched: bool,
+        no_prior_calls: bool,
     ) -> Option<AttemptDecision> {
         let hold = Hold {
             id,
             asked_ms,
-            untouched,
+            no_prior_calls,
             progress: Progress::default(),
         };
         let request = self.requests.get_mut(&attempt)?;
@@ -413,7 +414,7 @@
         let Phase::Watching { .. } = request.phase else {
             return None;
         };
-        let Standing::Done(_, completion) = self.index.standing(&request.ask.key) else {
+        let KeyStatus::Done(_, completion) = self.index.key_status(&request.ask.key) else {
             return None;
         };
         let completion = completion.clone();
--- a/crates/core/tests/claims_rules.rs
+++ b/crates/core/tests/claims_rules.rs
@@ -3,7 +3,7 @@
 use savoryvane_core::{
     claim::{Batch, ClaimId, Completion, Entry, Fingerprint, KeyHash, MAX_ANSWER_BYTES},
     claim_batcher::{AppendResult, BatchLimits, ClaimBatcher, interval_ms},
-    claim_index::{ClaimIndex, ClaimRecord, IndexLimits, Standing, Verdict},
+    claim_index::{ClaimIndex, ClaimRecord, ClaimStatus, IndexLimits, KeyStatus},
     claimant::{
         Attempt, AttemptDecision, ClaimLimits, ClaimReason, ClaimRequest, Claimant, Decision,
         Ending, FirstRun, Permit, StartedAttempt,
@@ -91,9 +91,9 @@
 }
 
 fn holder(index: &ClaimIndex) -> Option<ClaimId> {
-    match index.standing(&KEY) {
-        Standing::Free => None,
-        Standing::Claimed(holder) | Standing::Done(holder, _) => Some(holder.id),
+    match index.key_status(&KEY) {
+        KeyStatus::Free => None,
+        KeyStatus::Claimed(holder) | KeyStatus::Done(holder, _) => Some(holder.id),
     }
 }
 
@@ -101,8 +101,13 @@
 fn the_lowest_position_wins() {
     let index = index_of(&[(0, claim(1)), (0, claim(2)), (1, release(2)), (2, done(2))]);
     assert_eq!(holder(&index), Some(id(1)));
-    assert_eq!(index.verdict(&KEY, id(1)), Verdict::Won { untouched: true });
-    assert_eq!(index.verdict(&KEY, id(2)), Verdict::NotHeld);
+    assert_eq!(
+        index.claim_status(&KEY, id(1)),
+        ClaimStatus::Won {
+            no_prior_calls: true
+        }
+    );
+    assert_eq!(index.claim_status(&KEY, id(2)), ClaimStatus::NotHeld);
 }
 
 #[test]
@@ -131,7 +136,7 @@
 #[test]
 fn a_run_that_ended_is_not_released() {
     let index = index_of(&[(0, claim(1)), (1, done(1)), (2, release(1)), (3, claim(2))]);
-    assert!(matches!(index.standing(&KEY), Standing::Done(held, _) if held.id == id(1)));
+    assert!(matches!(index.key_status(&KEY), KeyStatus::Done(held, _) if held.id == id(1)));
 }
 
 #[test]
@@ -157,7 +162,9 @@
     let whole = index_of(&records);
     let mut later = ClaimIndex::new(INDEX);
     read(&mut later, 1, &records[1..]);
-    let won = |index: &ClaimIndex, of| matches!(index.verdict(&KEY, id(of)), Verdict::Won { .. });
+    let won = |index: &ClaimIndex, of| {
+        matches!(index.claim_status(&KEY, id(of)), ClaimStatus::Won { .. })
+    };
     let winners = [3, 4].map(|of| won(&whole, of) || won(&later, of));
     assert_eq!(winners, [false, false]);
 }
@@ -166,7 +173,7 @@
 fn nothing_is_decided_before_the_window_was_read() {
     let mut index = ClaimIndex::new(INDEX);
     read(&mut index, 5, &[(0, claim(1))]);
-    assert_eq!(index.verdict(&KEY, id(1)), Verdict::Undecidable);
+    assert_eq!(index.claim_status(&KEY, id(1)), ClaimStatus::Undecidable);
     assert!(!index.is_complete());
     read(
         &mut index,
@@ -174,7 +181,7 @@
         &[(WINDOW_MS + 1, claim_of(KeyHash([9; 16]), 2))],
     );
     assert!(index.is_complete());
-    assert_eq!(index.verdict(&KEY, id(1)), Verdict::NotHeld);
+    assert_eq!(index.claim_status(&KEY, id(1)), ClaimStatus::NotHeld);
 }
 
 /// The release that says that something ran may stand before what was read.
@@ -192,24 +199,29 @@
         (11_000, claim(2)),
         (16_001, claim(3)),
     ];
-    let verdict = |from: usize| {
+    let claim_status = |from: usize| {
         let mut index = ClaimIndex::new(INDEX);
         read(&mut index, from as u64, &records[from..]);
-        index.verdict(&KEY, id(2))
+        index.claim_status(&KEY, id(2))
     };
-    let nothing_known = Verdict::Won { untouched: false };
-    assert_eq!([0, 1].map(verdict), [nothing_known; 2]);
+    let nothing_known = ClaimStatus::Won {
+        no_prior_calls: false,
+    };
+    assert_eq!([0, 1].map(claim_status), [nothing_known; 2]);
 }
 
 #[test]
 fn a_gap_or_an_unreadable_record_starts_the_index_again() {
     let mut gap = index_of(&[(0, claim(1)), (1, release(1))]);
     read(&mut gap, 7, &[(2, claim(2))]);
-    assert_eq!(gap.verdict(&KEY, id(2)), Verdict::Undecidable);
+    assert_eq!(gap.claim_status(&KEY, id(2)), ClaimStatus::Undecidable);
     let mut unreadable = index_of(&[(0, claim(1)), (1, release(1))]);
     apply(&mut unreadable, 2, 2, None);
     read(&mut unreadable, 3, &[(3, claim(2))]);
-    assert_eq!(unreadable.verdict(&KEY, id(2)), Verdict::Undecidable);
+    assert_eq!(
+        unreadable.claim_status(&KEY, id(2)),
+        ClaimStatus::Undecidable
+    );
 }
 
 #[test]
@@ -239,9 +251,9 @@
         })
         .collect();
     let index = index_of(&answers);
-    let kept = |n: u8| match index.standing(&KeyHash([n; 16])) {
-        Standing::Done(_, completion) => completion.answer.is_some(),
-        Standing::Free | Standing::Claimed(_) => panic!("key {n} is forgotten"),
+    let kept = |n: u8| match index.key_status(&KeyHash([n; 16])) {
+        KeyStatus::Done(_, completion) => completion.answer.is_some(),
+        KeyStatus::Free | KeyStatus::Claimed(_) => panic!("key {n} is forgotten"),
     };
     assert_eq!([1, 2, 3].map(kept), [false, true, true]);
 }
