--- a/crates/core/src/claimant.rs
+++ b/crates/core/src/claimant.rs
@@ -1,5 +1,5 @@
-//! One instance's part in claiming keys: it asks, decides from the index, and
-//! hands out each non-idempotent call at most once.
+//! Claims of one instance: appends claims, decides attempts from the claim index
+//! and permits each non-idempotent call at most once.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
@@ -19,26 +19,26 @@
 /// Bounds of a [`Claimant`].
 #[derive(Clone, Copy, Debug)]
 pub struct ClaimLimits {
-    /// Bounds of its index.
+    /// Limits of the claim index.
     pub index: IndexLimits,
-    /// Bounds of its appends.
+    /// Limits of the batcher.
     pub batch: BatchLimits,
-    /// Most claims remembered that were given up.
+    /// Maximum number of abandoned claims that are tracked.
     pub max_abandoned: usize,
 }
 
-/// A claim that was won.
+/// A claim that holds its key.
 #[derive(Clone, Copy, Debug)]
-struct Hold {
+struct WonClaim {
     id: ClaimId,
-    asked_ms: u64,
+    claimed_at_ms: u64,
     no_prior_calls: bool,
     progress: Progress,
 }
 
-impl Hold {
-    /// A claim that is too old may hold its key no longer, so that another
-    /// attempt may have run since.
+impl WonClaim {
+    /// Returns the outcome of a run that sent no non-idempotent call. A claim that
+    /// is too old may have lost its key, so another attempt may have run since.
     fn unsent_outcome(&self, is_too_old: bool) -> Outcome {
         if self.progress.ran() {
             Outcome::Failed
@@ -52,22 +52,22 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Phase {
-    Waiting { id: ClaimId, asked_ms: u64 },
-    Watching { holder: ClaimId },
-    Won(Hold),
+    Pending { id: ClaimId, claimed_at_ms: u64 },
+    Joined { holder: ClaimId },
+    Won(WonClaim),
 }
 
 #[derive(Debug)]
-struct Request {
-    ask: ClaimRequest,
+struct AttemptState {
+    request: ClaimRequest,
     phase: Phase,
 }
 
-/// The claims of one instance.
+/// State machine for the claims of one instance.
 ///
-/// A claim that is given up before it was read back may still win. It is
-/// remembered, never sent on, and released when it is seen to hold its key, so
-/// that it blocks the caller's repeats only for as long as the log is behind.
+/// A claim that is abandoned before it was read back may still win its key. No
+/// calls are sent under it, and it is released once it is seen to hold the key,
+/// so it blocks retries of the caller only for the delay of the log.
 #[derive(Debug)]
 pub struct Claimant {
     instance: InstanceName,
@@ -75,14 +75,14 @@
     limits: ClaimLimits,
     index: ClaimIndex,
     batcher: ClaimBatcher,
-    requests: BTreeMap<Attempt, Request>,
+    attempts: BTreeMap<Attempt, AttemptState>,
     abandoned: HashMap<ClaimId, KeyHash>,
-    abandoned_order: VecDeque<(u64, ClaimId)>,
-    next_number: u64,
+    abandoned_evictions: VecDeque<(u64, ClaimId)>,
+    last_number: u64,
 }
 
 impl Claimant {
-    /// Creates the claimant of one run of an instance.
+    /// Creates the claimant of one incarnation of an instance.
     pub fn new(instance: InstanceName, incarnation: Incarnation, limits: ClaimLimits) -> Self {
         Self {
             instance,
@@ -90,58 +90,60 @@
             limits,
             index: ClaimIndex::new(limits.index),
             batcher: ClaimBatcher::new(limits.batch),
-            requests: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             abandoned: HashMap::new(),
-            abandoned_order: VecDeque::new(),
-            next_number: 0,
+            abandoned_evictions: VecDeque::new(),
+            last_number: 0,
         }
     }
 
-    /// Returns the incarnation whose claims these are.
+    /// Returns the incarnation that makes the claims.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Borrows the index.
+    /// Returns the claim index.
     pub fn index(&self) -> &ClaimIndex {
         &self.index
     }
 
-    /// Borrows the batcher.
+    /// Returns the batcher.
     pub fn batcher(&self) -> &ClaimBatcher {
         &self.batcher
     }
 
-    /// Changes the shortest time between two appends, in ms.
+    /// Sets the minimum time between two appends, in ms.
     pub fn set_interval_ms(&mut self, interval_ms: u64) {
         self.batcher.set_interval_ms(interval_ms);
     }
 
-    /// Begins an attempt; what is known already is decided at once.
-    pub fn begin(&mut self, now_ms: u64, ask: ClaimRequest) -> StartedAttempt {
-        let attempt = Attempt(self.take_number());
-        let decision = match self.look_up(&ask) {
+    /// Starts an attempt, with a decision if the index already allows one.
+    pub fn begin(&mut self, now_ms: u64, request: ClaimRequest) -> StartedAttempt {
+        let attempt = Attempt(self.allocate_number());
+        let decision = match self.look_up(&request) {
             Some(decision) => Some(decision),
-            None => self.ask(now_ms, attempt, ask),
+            None => self.submit_claim(now_ms, attempt, request),
         };
         if let Some(Decision::Join(first)) = &decision {
-            let phase = Phase::Watching { holder: first.id };
-            self.requests.insert(attempt, Request { ask, phase });
+            let phase = Phase::Joined { holder: first.id };
+            self.attempts
+                .insert(attempt, AttemptState { request, phase });
         }
         StartedAttempt { attempt, decision }
     }
 
-    /// Decides from what holds the key, if anything does.
-    fn look_up(&self, ask: &ClaimRequest) -> Option<Decision> {
-        match self.index.key_status(&ask.key) {
+    /// Returns the decision that follows from the holder of the key, if any.
+    fn look_up(&self, request: &ClaimRequest) -> Option<Decision> {
+        match self.index.key_status(&request.key) {
             KeyStatus::Free => None,
             KeyStatus::Claimed(holder) | KeyStatus::Done(holder, _)
-                if holder.fingerprint != ask.fingerprint =>
+                if holder.fingerprint != request.fingerprint =>
             {
                 Some(Decision::Misuse)
             }
             KeyStatus::Claimed(holder) => Some(Decision::Join(FirstRun::of(holder))),
-            // Its instance may still have what was too large for the log.
+            // The holder's instance may still have the response body that was too
+            // large for the log.
             KeyStatus::Done(holder, completion) if completion.is_answer_omitted() => {
                 Some(Decision::Join(FirstRun::of(holder)))
             }
@@ -149,10 +151,15 @@
         }
     }
 
-    /// Asks for the key with a claim of its own.
-    fn ask(&mut self, now_ms: u64, attempt: Attempt, ask: ClaimRequest) -> Option<Decision> {
-        if let Some(reason) = self.obstacle(now_ms, &ask) {
-            self.requests.remove(&attempt);
+    /// Queues a claim for the key, or ends the attempt if that is not possible.
+    fn submit_claim(
+        &mut self,
+        now_ms: u64,
+        attempt: Attempt,
+        request: ClaimRequest,
+    ) -> Option<Decision> {
+        if let Some(reason) = self.claim_obstacle(now_ms, &request) {
+            self.attempts.remove(&attempt);
             return Some(Decision::Ended(Ending {
                 outcome: Outcome::NotStarted,
                 reason,
@@ -160,24 +167,25 @@
         }
         let id = ClaimId {
             incarnation: self.incarnation,
-            seq: self.take_number(),
+            seq: self.allocate_number(),
         };
         self.batcher.push(Entry::Claim {
-            key: ask.key,
+            key: request.key,
             id,
-            fingerprint: ask.fingerprint,
+            fingerprint: request.fingerprint,
             instance: self.instance.clone(),
         });
-        let phase = Phase::Waiting {
+        let phase = Phase::Pending {
             id,
-            asked_ms: now_ms,
+            claimed_at_ms: now_ms,
         };
-        self.requests.insert(attempt, Request { ask, phase });
+        self.attempts
+            .insert(attempt, AttemptState { request, phase });
         None
     }
 
-    fn obstacle(&self, now_ms: u64, ask: &ClaimRequest) -> Option<ClaimReason> {
-        if now_ms >= ask.deadline_ms {
+    fn claim_obstacle(&self, now_ms: u64, request: &ClaimRequest) -> Option<ClaimReason> {
+        if now_ms >= request.deadline_ms {
             Some(ClaimReason::Deadline)
         } else if !self.index.is_complete() {
             Some(ClaimReason::IndexIncomplete)
@@ -190,41 +198,47 @@
         }
     }
 
-    fn take_number(&mut self) -> u64 {
-        self.next_number += 1;
-        self.next_number
+    fn allocate_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
-    /// Returns when the next append or deadline is due, in ms.
+    /// Returns the time of the next append or deadline, in ms.
     pub fn due_at_ms(&self) -> Option<u64> {
-        let undecided = |request: &&Request| !matches!(request.phase, Phase::Won(_));
-        let deadlines = self.requests.values().filter(undecided);
-        let first = deadlines.map(|request| request.ask.deadline_ms).min();
-        first.into_iter().chain(self.batcher.due_at_ms()).min()
+        let undecided = |state: &&AttemptState| !matches!(state.phase, Phase::Won(_));
+        let undecided_attempts = self.attempts.values().filter(undecided);
+        let earliest_deadline_ms = undecided_attempts
+            .map(|state| state.request.deadline_ms)
+            .min();
+        earliest_deadline_ms
+            .into_iter()
+            .chain(self.batcher.due_at_ms())
+            .min()
     }
 
-    /// Takes the batch to append now, if there is one.
+    /// Returns the batch to append now, if one is due.
     pub fn poll_append(&mut self, now_ms: u64) -> Option<&Batch> {
         self.batcher.poll(now_ms)
     }
 
-    /// Notes how the append in flight ended. Nothing is decided from it.
+    /// Handles the result of the append in flight. No attempt is decided by it.
     pub fn on_append_result(&mut self, result: AppendResult) {
-        let waiting: HashSet<ClaimId> = self
-            .requests
+        let pending_claims: HashSet<ClaimId> = self
+            .attempts
             .values()
-            .filter_map(|request| match request.phase {
-                Phase::Waiting { id, .. } => Some(id),
-                Phase::Watching { .. } | Phase::Won(_) => None,
+            .filter_map(|state| match state.phase {
+                Phase::Pending { id, .. } => Some(id),
+                Phase::Joined { .. } | Phase::Won(_) => None,
             })
             .collect();
         self.batcher.on_result(result, |entry| match entry {
-            Entry::Claim { id, .. } => waiting.contains(id),
+            Entry::Claim { id, .. } => pending_claims.contains(id),
             Entry::Release { .. } | Entry::Done { .. } => true,
         });
     }
 
-    /// Applies a record that was read back and decides what follows from it.
+    /// Applies a record that was read from the log and returns the decisions that
+    /// follow from it.
     pub fn on_record(&mut self, now_ms: u64, record: &ClaimRecord<'_>) -> Vec<AttemptDecision> {
         self.batcher.on_record(now_ms);
         let keys: HashSet<KeyHash> = self.index.apply(record).into_iter().collect();
@@ -232,24 +246,24 @@
             return self.end_undecided(now_ms);
         }
         self.release_abandoned(record);
-        let touched: Vec<Attempt> = self
-            .requests
+        let affected: Vec<Attempt> = self
+            .attempts
             .iter()
-            .filter(|(_, request)| keys.contains(&request.ask.key))
+            .filter(|(_, state)| keys.contains(&state.request.key))
             .map(|(attempt, _)| *attempt)
             .collect();
-        touched
+        affected
             .into_iter()
-            .filter_map(|attempt| self.settle(now_ms, attempt))
+            .filter_map(|attempt| self.decide(now_ms, attempt))
             .collect()
     }
 
-    /// Ends what depends on records that were missed.
+    /// Ends the undecided attempts, which depend on missing records.
     fn end_undecided(&mut self, now_ms: u64) -> Vec<AttemptDecision> {
         let undecided: Vec<Attempt> = self
-            .requests
+            .attempts
             .iter()
-            .filter(|(_, request)| !matches!(request.phase, Phase::Won(_)))
+            .filter(|(_, state)| !matches!(state.phase, Phase::Won(_)))
             .map(|(attempt, _)| *attempt)
             .collect();
         undecided
@@ -258,7 +272,7 @@
             .collect()
     }
 
-    /// Releases claims of ours that hold their key although they were given up.
+    /// Releases abandoned claims of this instance that hold their key.
     fn release_abandoned(&mut self, record: &ClaimRecord<'_>) {
         let entries = record.batch.map_or(&[][..], |batch| &batch.entries);
         for entry in entries {
@@ -272,76 +286,79 @@
         }
     }
 
-    /// Decides one attempt from what the index says now.
-    fn settle(&mut self, now_ms: u64, attempt: Attempt) -> Option<AttemptDecision> {
-        let request = self.requests.get(&attempt)?;
-        let ask = request.ask;
-        let decision = match request.phase {
+    /// Decides one attempt from the current state of the index.
+    fn decide(&mut self, now_ms: u64, attempt: Attempt) -> Option<AttemptDecision> {
+        let state = self.attempts.get(&attempt)?;
+        let request = state.request;
+        let decision = match state.phase {
             Phase::Won(_) => None,
-            Phase::Waiting { id, asked_ms } => match self.index.claim_status(&ask.key, id) {
+            Phase::Pending { id, claimed_at_ms } => match self.index.claim_status(&request.key, id)
+            {
                 ClaimStatus::Won { no_prior_calls } => {
-                    return self.win(now_ms, attempt, id, asked_ms, no_prior_calls);
+                    return self.accept_claim(now_ms, attempt, id, claimed_at_ms, no_prior_calls);
                 }
                 ClaimStatus::Undecidable => {
                     return self.end_waiting(now_ms, attempt, ClaimReason::IndexIncomplete);
                 }
                 ClaimStatus::NotHeld => {
-                    let lost = self.look_up(&ask);
-                    if lost.is_some() {
-                        self.withdraw(now_ms, id, ask.key);
+                    let winner_decision = self.look_up(&request);
+                    if winner_decision.is_some() {
+                        self.withdraw(now_ms, id, request.key);
                     }
-                    lost
+                    winner_decision
                 }
             },
-            Phase::Watching { holder } => match self.look_up(&ask) {
-                None => self.ask(now_ms, attempt, ask),
+            Phase::Joined { holder } => match self.look_up(&request) {
+                None => self.submit_claim(now_ms, attempt, request),
                 Some(Decision::Join(first)) if first.id == holder => None,
                 changed => changed,
             },
         }?;
-        self.note(attempt, &decision);
+        self.update_phase(attempt, &decision);
         Some(AttemptDecision { attempt, decision })
     }
 
-    fn win(
+    fn accept_claim(
         &mut self,
         now_ms: u64,
         attempt: Attempt,
         id: ClaimId,
-        asked_ms: u64,
+        claimed_at_ms: u64,
         no_prior_calls: bool,
     ) -> Option<AttemptDecision> {
-        let hold = Hold {
+        let claim = WonClaim {
             id,
-            asked_ms,
+            claimed_at_ms,
             no_prior_calls,
             progress: Progress::default(),
         };
-        let request = self.requests.get_mut(&attempt)?;
-        request.phase = Phase::Won(hold);
-        let decision = match self.check_time(now_ms, attempt, &hold) {
+        let state = self.attempts.get_mut(&attempt)?;
+        state.phase = Phase::Won(claim);
+        let decision = match self.check_time(now_ms, attempt, &claim) {
             Some(reason) => Decision::Ended(self.give_up(now_ms, attempt, reason)?),
             None => Decision::Won,
         };
         Some(AttemptDecision { attempt, decision })
     }
 
-    /// Keeps watching after [`Decision::Join`]; every other decision is final.
-    fn note(&mut self, attempt: Attempt, decision: &Decision) {
+    /// Updates the phase of an attempt. All decisions other than
+    /// [`Decision::Join`] and [`Decision::Won`] remove it.
+    fn update_phase(&mut self, attempt: Attempt, decision: &Decision) {
         match decision {
             Decision::Join(first) => {
-                if let Some(request) = self.requests.get_mut(&attempt) {
-                    request.phase = Phase::Watching { holder: first.id };
+                if let Some(state) = self.attempts.get_mut(&attempt) {
+                    state.phase = Phase::Joined { holder: first.id };
                 }
             }
             Decision::Won => {}
             Decision::Recorded(_) | Decision::Misuse | Decision::Ended(_) => {
-                self.requests.remove(&attempt);
+                self.attempts.remove(&attempt);
             }
         }
     }
 
-    /// Takes a claim back, or remembers it when it may be on its way.
+    /// Removes a claim from the queue, or marks it as abandoned if it may be in
+    /// the log.
     fn withdraw(&mut self, now_ms: u64, id: ClaimId, key: KeyHash) {
         if !self.batcher.withdraw(id) {
             self.abandon(now_ms, id, key);
@@ -349,128 +366,129 @@
     }
 
     fn abandon(&mut self, now_ms: u64, id: ClaimId, key: KeyHash) {
-        let forget_at_ms = now_ms + 2 * self.index.window_ms();
+        let evict_at_ms = now_ms + 2 * self.index.window_ms();
         if self.abandoned.insert(id, key).is_none() {
-            self.abandoned_order.push_back((forget_at_ms, id));
+            self.abandoned_evictions.push_back((evict_at_ms, id));
         }
     }
 
-    /// Ends what is past its deadline.
+    /// Ends the attempts whose deadline has passed.
     pub fn on_tick(&mut self, now_ms: u64) -> Vec<AttemptDecision> {
-        self.forget_abandoned(now_ms);
-        let late: Vec<Attempt> = self
-            .requests
+        self.evict_abandoned(now_ms);
+        let expired: Vec<Attempt> = self
+            .attempts
             .iter()
-            .filter(|(_, request)| now_ms >= request.ask.deadline_ms)
+            .filter(|(_, state)| now_ms >= state.request.deadline_ms)
             .map(|(attempt, _)| *attempt)
             .collect();
-        late.into_iter()
+        expired
+            .into_iter()
             .filter_map(|attempt| self.end_waiting(now_ms, attempt, ClaimReason::Deadline))
             .collect()
     }
 
-    fn forget_abandoned(&mut self, now_ms: u64) {
-        while let Some(&(forget_at_ms, id)) = self.abandoned_order.front()
-            && (forget_at_ms <= now_ms || self.abandoned.len() > self.limits.max_abandoned)
+    fn evict_abandoned(&mut self, now_ms: u64) {
+        while let Some(&(evict_at_ms, id)) = self.abandoned_evictions.front()
+            && (evict_at_ms <= now_ms || self.abandoned.len() > self.limits.max_abandoned)
         {
-            self.abandoned_order.pop_front();
+            self.abandoned_evictions.pop_front();
             self.abandoned.remove(&id);
         }
     }
 
-    /// Ends an attempt that holds nothing.
+    /// Ends an attempt that does not hold its key.
     fn end_waiting(
         &mut self,
         now_ms: u64,
         attempt: Attempt,
         reason: ClaimReason,
     ) -> Option<AttemptDecision> {
-        let request = self.requests.get(&attempt)?;
-        if matches!(request.phase, Phase::Won(_)) {
+        let state = self.attempts.get(&attempt)?;
+        if matches!(state.phase, Phase::Won(_)) {
             return None;
         }
         let decision = Decision::Ended(self.give_up(now_ms, attempt, reason)?);
         Some(AttemptDecision { attempt, decision })
     }
 
-    /// Ends an attempt whose holder gives no answer: what became of the first
-    /// run is not known, unless the log has it.
+    /// Ends an attempt that waits for an unreachable holder. The result of the
+    /// first run is unknown unless the log has it.
     pub fn on_holder_unreachable(&mut self, now_ms: u64, attempt: Attempt) -> Option<Decision> {
         if let Some(recorded) = self.recorded(attempt) {
             return Some(recorded);
         }
-        let request = self.requests.get(&attempt)?;
-        if !matches!(request.phase, Phase::Watching { .. }) {
+        let state = self.attempts.get(&attempt)?;
+        if !matches!(state.phase, Phase::Joined { .. }) {
             return None;
         }
         let ending = self.give_up(now_ms, attempt, ClaimReason::HolderUnreachable)?;
         Some(Decision::Ended(ending))
     }
 
-    /// Ends an attempt that waits for a run which has ended, as far as the log
-    /// has its answer.
+    /// Ends an attempt that waits for the first run if the log has the result of
+    /// that run.
     pub fn recorded(&mut self, attempt: Attempt) -> Option<Decision> {
-        let request = self.requests.get(&attempt)?;
-        let Phase::Watching { .. } = request.phase else {
+        let state = self.attempts.get(&attempt)?;
+        let Phase::Joined { .. } = state.phase else {
             return None;
         };
-        let KeyStatus::Done(_, completion) = self.index.key_status(&request.ask.key) else {
+        let KeyStatus::Done(_, completion) = self.index.key_status(&state.request.key) else {
             return None;
         };
         let completion = completion.clone();
-        self.requests.remove(&attempt);
+        self.attempts.remove(&attempt);
         Some(Decision::Recorded(completion))
     }
 
-    /// Asks whether a call of the stage with index `stage` may be handed to a
-    /// socket now. It has to be asked directly before the write, and the call
-    /// counts as sent from here on; a non-idempotent one may be sent once.
+    /// Returns whether a call of the stage with index `stage` may be written to a
+    /// socket now. It must be called directly before the write. A permitted call
+    /// counts as sent, and a non-idempotent call is permitted once.
     pub fn permit(&mut self, now_ms: u64, attempt: Attempt, stage: u32, kind: CallKind) -> Permit {
-        let Some(Phase::Won(mut hold)) = self.requests.get(&attempt).map(|known| known.phase)
+        let Some(Phase::Won(mut claim)) = self.attempts.get(&attempt).map(|state| state.phase)
         else {
             return Permit::Refused(ClaimReason::NotHolder);
         };
-        if let Some(reason) = self.check_time(now_ms, attempt, &hold) {
+        if let Some(reason) = self.check_time(now_ms, attempt, &claim) {
             return Permit::Refused(reason);
         }
-        if !hold.progress.send(stage, kind) {
+        if !claim.progress.send(stage, kind) {
             return Permit::Refused(ClaimReason::AlreadySent);
         }
-        self.set_hold(attempt, hold);
+        self.set_claim(attempt, claim);
         Permit::Send
     }
 
-    fn check_time(&self, now_ms: u64, attempt: Attempt, hold: &Hold) -> Option<ClaimReason> {
-        let request = self.requests.get(&attempt)?;
-        if self.is_too_old(now_ms, hold) {
+    fn check_time(&self, now_ms: u64, attempt: Attempt, claim: &WonClaim) -> Option<ClaimReason> {
+        let state = self.attempts.get(&attempt)?;
+        if self.is_too_old(now_ms, claim) {
             Some(ClaimReason::ClaimTooOld)
-        } else if now_ms >= request.ask.deadline_ms {
+        } else if now_ms >= state.request.deadline_ms {
             Some(ClaimReason::Deadline)
         } else {
             None
         }
     }
 
-    fn is_too_old(&self, now_ms: u64, hold: &Hold) -> bool {
-        now_ms.saturating_sub(hold.asked_ms) >= self.index.window_ms() / 2
+    fn is_too_old(&self, now_ms: u64, claim: &WonClaim) -> bool {
+        now_ms.saturating_sub(claim.claimed_at_ms) >= self.index.window_ms() / 2
     }
 
-    /// Takes back the last permit, of a call that certainly has not run.
+    /// Revokes the last permit, whose call certainly has not run.
     pub fn retract(&mut self, attempt: Attempt, cause: Retraction) {
-        if let Some(Phase::Won(mut hold)) = self.requests.get(&attempt).map(|known| known.phase) {
-            hold.progress.retract(cause);
-            self.set_hold(attempt, hold);
+        if let Some(Phase::Won(mut claim)) = self.attempts.get(&attempt).map(|state| state.phase) {
+            claim.progress.retract(cause);
+            self.set_claim(attempt, claim);
         }
     }
 
-    fn set_hold(&mut self, attempt: Attempt, hold: Hold) {
-        if let Some(request) = self.requests.get_mut(&attempt) {
-            request.phase = Phase::Won(hold);
+    fn set_claim(&mut self, attempt: Attempt, claim: WonClaim) {
+        if let Some(state) = self.attempts.get_mut(&attempt) {
+            state.phase = Phase::Won(claim);
         }
     }
 
-    /// Ends a run with its answer and returns the outcome to tell. A run that
-    /// may have taken effect is never told otherwise.
+    /// Ends a run and returns the outcome to report to the caller. A run that may
+    /// have taken effect is never reported as not run.
     pub fn finish(
         &mut self,
         now_ms: u64,
@@ -478,49 +496,49 @@
         outcome: Outcome,
         answer: &[u8],
     ) -> Outcome {
-        let Some(Phase::Won(hold)) = self.requests.get(&attempt).map(|known| known.phase) else {
+        let Some(Phase::Won(claim)) = self.attempts.get(&attempt).map(|state| state.phase) else {
             return outcome;
         };
-        if !hold.progress.may_have_run() && outcome != Outcome::Complete {
+        if !claim.progress.may_have_run() && outcome != Outcome::Complete {
             let ending = self.give_up(now_ms, attempt, ClaimReason::NothingSent);
             return ending.map_or(outcome, |ending| ending.outcome);
         }
-        let told = hold.progress.told(outcome);
-        if let Some(request) = self.requests.remove(&attempt) {
+        let reported = claim.progress.told(outcome);
+        if let Some(state) = self.attempts.remove(&attempt) {
             self.batcher.push(Entry::Done {
-                key: request.ask.key,
-                id: hold.id,
-                completion: Completion::new(told, answer),
+                key: state.request.key,
+                id: claim.id,
+                completion: Completion::new(reported, answer),
             });
         }
-        told
+        reported
     }
 
-    /// Ends an attempt without an answer, at whatever point it is; `None` when
-    /// it has ended before.
+    /// Ends an attempt without a response, in any phase. Returns `None` if it has
+    /// already ended.
     pub fn give_up(
         &mut self,
         now_ms: u64,
         attempt: Attempt,
         reason: ClaimReason,
     ) -> Option<Ending> {
-        let request = self.requests.remove(&attempt)?;
-        let key = request.ask.key;
-        let outcome = match request.phase {
-            Phase::Waiting { id, .. } => {
+        let state = self.attempts.remove(&attempt)?;
+        let key = state.request.key;
+        let outcome = match state.phase {
+            Phase::Pending { id, .. } => {
                 self.withdraw(now_ms, id, key);
                 Outcome::NotStarted
             }
-            Phase::Watching { .. } => Outcome::Unknown,
-            Phase::Won(hold) if !hold.progress.may_have_run() => {
-                self.release(key, &hold);
-                let is_too_old = self.is_too_old(now_ms, &hold);
-                hold.unsent_outcome(is_too_old)
+            Phase::Joined { .. } => Outcome::Unknown,
+            Phase::Won(claim) if !claim.progress.may_have_run() => {
+                self.release(key, &claim);
+                let is_too_old = self.is_too_old(now_ms, &claim);
+                claim.unsent_outcome(is_too_old)
             }
-            Phase::Won(hold) => {
+            Phase::Won(claim) => {
                 self.batcher.push(Entry::Done {
                     key,
-                    id: hold.id,
+                    id: claim.id,
                     completion: Completion::new(Outcome::Unknown, &[]),
                 });
                 Outcome::Unknown
@@ -529,11 +547,11 @@
         Some(Ending { outcome, reason })
     }
 
-    fn release(&mut self, key: KeyHash, hold: &Hold) {
+    fn release(&mut self, key: KeyHash, claim: &WonClaim) {
         self.batcher.push(Entry::Release {
             key,
-            id: hold.id,
-            ran: hold.progress.ran(),
+            id: claim.id,
+            ran: claim.progress.ran(),
         });
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions of savoryvane, without input or output.
+//! Decision logic of savoryvane, without input or output.
 //!
-//! Every module is a state machine or a pure function of a borrowed view: time
-//! comes in as an argument, what has to happen goes out as a value.
+//! Every module is a state machine or a pure function of a borrowed view. Time is
+//! passed as an argument, and actions are returned as values.
 
 pub mod bucket;
 pub mod call;
--- a/crates/core/src/ticket.rs
+++ b/crates/core/src/ticket.rs
@@ -1,8 +1,8 @@
-//! Tickets for non-idempotent requests, which need no log: only the incarnation
+//! Tickets for non-idempotent requests. They need no log: only the incarnation
 //! that issued a ticket may run it.
 //!
-//! What is known of a ticket dies with its issuer, and with it every chance that
-//! the ticket is run again.
+//! The state of a ticket is lost when its issuer stops. The ticket then cannot be
+//! run again.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -17,14 +17,15 @@
     progress::{CallKind, Progress, Retraction},
 };
 
-const PREFIX: &str = "t1";
+const TICKET_PREFIX: &str = "t1";
 const SECRET_BYTES: usize = 16;
 
-/// A ticket as its holder sees it. It names its issuer, so that any instance
-/// can pass it on, and can't be guessed.
+/// ID of a ticket as given to the caller. It names the issuer, so that any
+/// instance can forward it, and contains a random number, so that it cannot be
+/// guessed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TicketId {
-    /// Instance that issued it.
+    /// Instance that issued the ticket.
     pub instance: InstanceName,
     /// Incarnation of that instance.
     pub incarnation: Incarnation,
@@ -33,19 +34,19 @@
 }
 
 impl TicketId {
-    /// Reads a ticket from its text form; `None` when it is not one.
+    /// Parses the text form of a ticket. Returns `None` if it is malformed.
     pub fn parse(text: &str) -> Option<Self> {
         let mut parts = text.split('_');
         let (prefix, instance) = (parts.next()?, parts.next()?);
         let (incarnation, secret) = (parts.next()?, parts.next()?);
-        if prefix != PREFIX || !is_valid_name(instance) || parts.next().is_some() {
+        if prefix != TICKET_PREFIX || !is_valid_name(instance) || parts.next().is_some() {
             return None;
         }
-        let mut number = [0; size_of::<u64>()];
-        hex::decode_to_slice(incarnation, &mut number).ok()?;
+        let mut incarnation_bytes = [0; size_of::<u64>()];
+        hex::decode_to_slice(incarnation, &mut incarnation_bytes).ok()?;
         let mut id = Self {
             instance: InstanceName::new(instance),
-            incarnation: Incarnation(u64::from_be_bytes(number)),
+            incarnation: Incarnation(u64::from_be_bytes(incarnation_bytes)),
             secret: [0; SECRET_BYTES],
         };
         hex::decode_to_slice(secret, &mut id.secret).ok()?;
@@ -58,7 +59,7 @@
         let secret = hex::encode(self.secret);
         write!(
             f,
-            "{PREFIX}_{}_{}_{secret}",
+            "{TICKET_PREFIX}_{}_{}_{secret}",
             self.instance, self.incarnation
         )
     }
@@ -67,136 +68,139 @@
 /// Bounds of a [`TicketRegistry`].
 #[derive(Clone, Copy, Debug)]
 pub struct TicketLimits {
-    /// Time that a ticket can be used, in ms.
+    /// Time for which a ticket can be redeemed, in ms.
     pub valid_ms: u64,
-    /// Time that a ticket is remembered after it can't be used any more, in ms.
+    /// Time for which a ticket is retained after its expiry, in ms.
     pub retain_expired_ms: u64,
-    /// Most tickets of one workspace.
+    /// Maximum number of tickets of one workspace.
     pub max_per_workspace: usize,
-    /// Most tickets of all.
+    /// Maximum number of tickets of all workspaces.
     pub max_total: usize,
 }
 
-/// What an instance does with a ticket.
+/// Result of redeeming a ticket.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Redemption {
-    /// It runs the request, with a permit for each call.
+    /// The request may run; each call needs a [`Permit`].
     Run,
-    /// The ticket is being run here: its answer is waited for.
+    /// The request is running on this instance; the caller waits for its response.
     Join,
-    /// The ticket was run and ended like this.
+    /// The request was run and ended with this result.
     Recorded(Completion),
-    /// It was issued elsewhere: the request is passed on.
+    /// Another incarnation issued the ticket; the request is forwarded to it.
     Forward,
-    /// It belongs to another workspace, or was used for another request.
+    /// The ticket belongs to another workspace or was used for a different request.
     Misuse,
-    /// It can't be used any more, or was never issued; it is not run.
+    /// The ticket has expired or was never issued; the request is not run.
     NotValid,
 }
 
 #[derive(Debug)]
-enum Use {
+enum TicketState {
     Issued,
     Running(Fingerprint),
     Ended(Fingerprint, Completion),
 }
 
 #[derive(Debug)]
-struct Known {
+struct Ticket {
     workspace: WorkspaceName,
     expires_ms: u64,
     progress: Progress,
-    state: Use,
+    state: TicketState,
 }
 
-/// Tickets that one incarnation has issued.
+/// Tickets issued by one incarnation.
 #[derive(Debug)]
 pub struct TicketRegistry {
     instance: InstanceName,
     incarnation: Incarnation,
     limits: TicketLimits,
-    known: HashMap<TicketId, Known>,
-    by_workspace: HashMap<WorkspaceName, usize>,
-    order: VecDeque<(u64, TicketId)>,
+    tickets: HashMap<TicketId, Ticket>,
+    count_by_workspace: HashMap<WorkspaceName, usize>,
+    eviction_order: VecDeque<(u64, TicketId)>,
 }
 
 impl TicketRegistry {
-    /// Creates an empty book for one run of an instance.
+    /// Creates an empty registry for one incarnation of an instance.
     pub fn new(instance: InstanceName, incarnation: Incarnation, limits: TicketLimits) -> Self {
         Self {
             instance,
             incarnation,
             limits,
-            known: HashMap::new(),
-            by_workspace: HashMap::new(),
-            order: VecDeque::new(),
+            tickets: HashMap::new(),
+            count_by_workspace: HashMap::new(),
+            eviction_order: VecDeque::new(),
         }
     }
 
-    /// Returns the number of tickets remembered.
+    /// Returns the number of retained tickets.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.tickets.len()
     }
 
-    /// Tells whether no ticket is remembered.
+    /// Returns whether no ticket is retained.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.tickets.is_empty()
     }
 
-    /// Issues a ticket with a fresh random number; `None` when the workspace or
-    /// the instance has too many.
+    /// Issues a ticket with the random number `secret`. Returns `None` if the
+    /// workspace or the instance has too many tickets.
     pub fn issue(
         &mut self,
         now_ms: u64,
         workspace: &WorkspaceName,
         secret: [u8; SECRET_BYTES],
     ) -> Option<TicketId> {
-        self.forget(now_ms);
-        let of_workspace = self.by_workspace.get(workspace).copied().unwrap_or(0);
-        let is_full = self.known.len() >= self.limits.max_total
-            || of_workspace >= self.limits.max_per_workspace;
+        self.evict_expired(now_ms);
+        let workspace_count = self.count_by_workspace.get(workspace).copied().unwrap_or(0);
+        let is_full = self.tickets.len() >= self.limits.max_total
+            || workspace_count >= self.limits.max_per_workspace;
         let id = TicketId {
             instance: self.instance.clone(),
             incarnation: self.incarnation,
             secret,
         };
-        if is_full || self.known.contains_key(&id) {
+        if is_full || self.tickets.contains_key(&id) {
             return None;
         }
         let expires_ms = now_ms + self.limits.valid_ms;
-        let known = Known {
+        let ticket = Ticket {
             workspace: workspace.clone(),
             expires_ms,
             progress: Progress::default(),
-            state: Use::Issued,
+            state: TicketState::Issued,
         };
-        self.known.insert(id.clone(), known);
-        *self.by_workspace.entry(workspace.clone()).or_default() += 1;
-        self.order
+        self.tickets.insert(id.clone(), ticket);
+        *self
+            .count_by_workspace
+            .entry(workspace.clone())
+            .or_default() += 1;
+        self.eviction_order
             .push_back((expires_ms + self.limits.retain_expired_ms, id.clone()));
         Some(id)
     }
 
-    /// Drops tickets whose time is over. One that is dropped is never run: only
-    /// a ticket that is remembered as issued can be.
-    fn forget(&mut self, now_ms: u64) {
-        while let Some((forget_at_ms, _)) = self.order.front()
-            && *forget_at_ms <= now_ms
-            && let Some((_, id)) = self.order.pop_front()
+    /// Evicts tickets whose retention time is over. An evicted ticket is never
+    /// run, because only a retained ticket in the issued state can be.
+    fn evict_expired(&mut self, now_ms: u64) {
+        while let Some((evict_at_ms, _)) = self.eviction_order.front()
+            && *evict_at_ms <= now_ms
+            && let Some((_, id)) = self.eviction_order.pop_front()
         {
-            let Some(known) = self.known.remove(&id) else {
+            let Some(ticket) = self.tickets.remove(&id) else {
                 continue;
             };
-            if let Some(count) = self.by_workspace.get_mut(&known.workspace) {
+            if let Some(count) = self.count_by_workspace.get_mut(&ticket.workspace) {
                 *count -= 1;
                 if *count == 0 {
-                    self.by_workspace.remove(&known.workspace);
+                    self.count_by_workspace.remove(&ticket.workspace);
                 }
             }
         }
     }
 
-    /// Uses a ticket for a request.
+    /// Redeems a ticket for a request.
     pub fn redeem(
         &mut self,
         now_ms: u64,
@@ -207,27 +211,31 @@
         if id.instance != self.instance || id.incarnation != self.incarnation {
             return Redemption::Forward;
         }
-        let Some(known) = self.known.get_mut(id) else {
+        let Some(ticket) = self.tickets.get_mut(id) else {
             return Redemption::NotValid;
         };
-        if known.workspace != *workspace {
+        if ticket.workspace != *workspace {
             return Redemption::Misuse;
         }
-        match &known.state {
-            Use::Issued if now_ms >= known.expires_ms => Redemption::NotValid,
-            Use::Issued => {
-                known.state = Use::Running(fingerprint);
+        match &ticket.state {
+            TicketState::Issued if now_ms >= ticket.expires_ms => Redemption::NotValid,
+            TicketState::Issued => {
+                ticket.state = TicketState::Running(fingerprint);
                 Redemption::Run
             }
-            Use::Running(used) | Use::Ended(used, _) if *used != fingerprint => Redemption::Misuse,
-            Use::Running(_) => Redemption::Join,
-            Use::Ended(_, completion) => Redemption::Recorded(completion.clone()),
+            TicketState::Running(first_fingerprint) | TicketState::Ended(first_fingerprint, _)
+                if *first_fingerprint != fingerprint =>
+            {
+                Redemption::Misuse
+            }
+            TicketState::Running(_) => Redemption::Join,
+            TicketState::Ended(_, completion) => Redemption::Recorded(completion.clone()),
         }
     }
 
-    /// Asks whether a call of the stage with index `stage` may be handed to a
-    /// socket now. It has to be asked directly before the write, and the call
-    /// counts as sent from here on; a non-idempotent one may be sent once.
+    /// Returns whether a call of the stage with index `stage` may be written to a
+    /// socket now. It must be called directly before the write. A permitted call
+    /// counts as sent, and a non-idempotent call is permitted once.
     pub fn permit(
         &mut self,
         now_ms: u64,
@@ -236,7 +244,7 @@
         stage: u32,
         kind: CallKind,
     ) -> Permit {
-        let Some(progress) = self.running(id) else {
+        let Some(progress) = self.running_progress(id) else {
             return Permit::Refused(ClaimReason::NotHolder);
         };
         if now_ms >= deadline_ms {
@@ -248,38 +256,38 @@
         Permit::Send
     }
 
-    fn running(&mut self, id: &TicketId) -> Option<&mut Progress> {
-        let known = self.known.get_mut(id)?;
-        matches!(known.state, Use::Running(_)).then_some(&mut known.progress)
+    fn running_progress(&mut self, id: &TicketId) -> Option<&mut Progress> {
+        let ticket = self.tickets.get_mut(id)?;
+        matches!(ticket.state, TicketState::Running(_)).then_some(&mut ticket.progress)
     }
 
-    /// Takes back the last permit, of a call that certainly has not run.
+    /// Revokes the last permit, whose call certainly has not run.
     pub fn retract(&mut self, id: &TicketId, cause: Retraction) {
-        if let Some(progress) = self.running(id) {
+        if let Some(progress) = self.running_progress(id) {
             progress.retract(cause);
         }
     }
 
-    /// Ends a run with its answer and returns the outcome to tell. A run that
-    /// may have taken effect is never told otherwise; after one that sent no
-    /// non-idempotent call the ticket can be used again.
+    /// Ends a run and returns the outcome to report to the caller. A run that may
+    /// have taken effect is never reported as not run. If no non-idempotent call
+    /// was sent, the ticket can be redeemed again.
     pub fn finish(&mut self, id: &TicketId, outcome: Outcome, answer: &[u8]) -> Outcome {
-        let Some(known) = self.known.get_mut(id) else {
+        let Some(ticket) = self.tickets.get_mut(id) else {
             return outcome;
         };
-        let Use::Running(fingerprint) = known.state else {
+        let TicketState::Running(fingerprint) = ticket.state else {
             return outcome;
         };
-        if !known.progress.may_have_run() && outcome != Outcome::Complete {
-            known.state = Use::Issued;
-            return if known.progress.ran() {
+        if !ticket.progress.may_have_run() && outcome != Outcome::Complete {
+            ticket.state = TicketState::Issued;
+            return if ticket.progress.ran() {
                 Outcome::Failed
             } else {
                 Outcome::NotRun
             };
         }
-        let told = known.progress.told(outcome);
-        known.state = Use::Ended(fingerprint, Completion::new(told, answer));
-        told
+        let reported = ticket.progress.told(outcome);
+        ticket.state = TicketState::Ended(fingerprint, Completion::new(reported, answer));
+        reported
     }
 }
