--- a/crates/core/tests/claims_interleavings.rs
+++ b/crates/core/tests/claims_interleavings.rs
@@ -1,48 +1,48 @@
-//! At most one run per key through any order of reads, lost and late appends,
-//! kills, freezes, trims and unreadable records.
+//! Checks that at most one run per key happens under any interleaving of reads,
+//! lost and late appends, kills, freezes, trims and unreadable records.
 
 mod claims_world;
 
 use claims_world::{INSTANCES, Op, World, seeded};
 
-const TESTS: u64 = 20_000;
+const TEST_CASES: u64 = 20_000;
 
-fn faults_of(ops: Vec<Op>) -> Vec<String> {
+fn run_operations(ops: Vec<Op>) -> Vec<String> {
     let mut world = World::new();
     for op in ops {
         world.apply(op);
     }
-    world.calm();
-    world.faults
+    world.settle();
+    world.violations
 }
 
 #[test]
 fn a_call_is_handed_out_at_most_once_per_key() {
-    fn law(ops: Vec<Op>) -> bool {
-        faults_of(ops).is_empty()
+    fn property(ops: Vec<Op>) -> bool {
+        run_operations(ops).is_empty()
     }
-    seeded(TESTS).quickcheck(law as fn(_) -> _);
+    seeded(TEST_CASES).quickcheck(property as fn(_) -> _);
 }
 
-/// Without trims, unreadable records and long times nobody may be left waiting:
-/// a key is free, or held by a claim whose instance is asked for the answer.
+/// Without trims and unreadable records no attempt may stay undecided. Its key is
+/// free, or held by a claim whose instance is asked for the response.
 #[test]
-fn every_attempt_is_decided_once_the_log_is_read() {
-    fn law(ops: Vec<Op>) -> bool {
+fn every_attempt_is_decided_after_the_log_is_read() {
+    fn property(ops: Vec<Op>) -> bool {
         let mut world = World::new();
         for op in ops {
-            if !matches!(op, Op::Trim { .. } | Op::Garble) {
+            if !matches!(op, Op::Trim { .. } | Op::AppendUnreadable) {
                 world.apply(op);
             }
         }
-        world.calm();
-        for at in 0..INSTANCES {
-            world.apply(Op::Tick { at });
+        world.settle();
+        for node in 0..INSTANCES {
+            world.apply(Op::Tick { node });
         }
-        let told = world.told.len();
+        let decisions = world.decisions.len();
         world.begin(0, 0, 5_000);
-        world.calm();
-        world.told.len() > told && world.faults.is_empty()
+        world.settle();
+        world.decisions.len() > decisions && world.violations.is_empty()
     }
-    seeded(TESTS / 4).quickcheck(law as fn(_) -> _);
+    seeded(TEST_CASES / 4).quickcheck(property as fn(_) -> _);
 }
--- a/crates/core/tests/claims_rules.rs
+++ b/crates/core/tests/claims_rules.rs
@@ -1,4 +1,4 @@
-//! The rules of the claim stream, one case each.
+//! Rules of the claim stream, one test for each.
 
 use savoryvane_core::{
     claim::{Batch, ClaimId, Completion, Entry, Fingerprint, KeyHash, MAX_ANSWER_BYTES},
@@ -13,18 +13,18 @@
     progress::{CallKind, Retraction},
 };
 
-const ONCE: CallKind = CallKind::NonIdempotent;
+const NON_IDEMPOTENT: CallKind = CallKind::NonIdempotent;
 const WINDOW_MS: u64 = 10_000;
 const KEY: KeyHash = KeyHash([1; 16]);
-const PRINT: Fingerprint = Fingerprint([2; 16]);
+const FINGERPRINT: Fingerprint = Fingerprint([2; 16]);
 
-const INDEX: IndexLimits = IndexLimits {
+const INDEX_LIMITS: IndexLimits = IndexLimits {
     window_ms: WINDOW_MS,
     max_keys: 4,
     max_answer_bytes: 40,
 };
 
-const BATCH: BatchLimits = BatchLimits {
+const BATCH_LIMITS: BatchLimits = BatchLimits {
     interval_ms: 50,
     heartbeat_interval_ms: WINDOW_MS,
     max_entries: 4,
@@ -39,36 +39,36 @@
     }
 }
 
-fn claim(of: u64) -> Entry {
-    claim_of(KEY, of)
+fn claim(incarnation: u64) -> Entry {
+    claim_for_key(KEY, incarnation)
 }
 
-fn claim_of(key: KeyHash, of: u64) -> Entry {
+fn claim_for_key(key: KeyHash, incarnation: u64) -> Entry {
     Entry::Claim {
         key,
-        id: id(of),
-        fingerprint: PRINT,
+        id: id(incarnation),
+        fingerprint: FINGERPRINT,
         instance: InstanceName::from("entry"),
     }
 }
 
-fn release(of: u64) -> Entry {
+fn release(incarnation: u64) -> Entry {
     Entry::Release {
         key: KEY,
-        id: id(of),
+        id: id(incarnation),
         ran: false,
     }
 }
 
-fn done(of: u64) -> Entry {
+fn done(incarnation: u64) -> Entry {
     Entry::Done {
         key: KEY,
-        id: id(of),
+        id: id(incarnation),
         completion: Completion::new(Outcome::Complete, b"held"),
     }
 }
 
-/// Records with the time of their append, from an offset on.
+/// Applies records with their append times, starting at offset `from`.
 fn read(index: &mut ClaimIndex, from: u64, records: &[(u64, Entry)]) {
     for (offset, (at_ms, entry)) in (from..).zip(records) {
         let entries = vec![entry.clone()];
@@ -84,8 +84,8 @@
     });
 }
 
-fn index_of(records: &[(u64, Entry)]) -> ClaimIndex {
-    let mut index = ClaimIndex::new(INDEX);
+fn build_index(records: &[(u64, Entry)]) -> ClaimIndex {
+    let mut index = ClaimIndex::new(INDEX_LIMITS);
     read(&mut index, 0, records);
     index
 }
@@ -99,7 +99,7 @@
 
 #[test]
 fn the_lowest_position_wins() {
-    let index = index_of(&[(0, claim(1)), (0, claim(2)), (1, release(2)), (2, done(2))]);
+    let index = build_index(&[(0, claim(1)), (0, claim(2)), (1, release(2)), (2, done(2))]);
     assert_eq!(holder(&index), Some(id(1)));
     assert_eq!(
         index.claim_status(&KEY, id(1)),
@@ -112,45 +112,46 @@
 
 #[test]
 fn the_next_claim_after_a_release_wins() {
-    let index = index_of(&[(0, claim(1)), (1, claim(2)), (2, release(1)), (3, claim(3))]);
+    let index = build_index(&[(0, claim(1)), (1, claim(2)), (2, release(1)), (3, claim(3))]);
     assert_eq!(holder(&index), Some(id(3)));
 }
 
 #[test]
 fn a_late_copy_of_a_released_claim_holds_nothing() {
-    let index = index_of(&[(0, claim(1)), (1, release(1)), (2, claim(1))]);
+    let index = build_index(&[(0, claim(1)), (1, release(1)), (2, claim(1))]);
     assert_eq!(holder(&index), None);
 }
 
 #[test]
-fn a_late_copy_of_a_release_frees_nobody_else() {
+fn a_duplicate_release_does_not_release_another_claim() {
     let records = [
         (0, claim(1)),
         (1, release(1)),
         (2, claim(2)),
         (3, release(1)),
     ];
-    assert_eq!(holder(&index_of(&records)), Some(id(2)));
+    assert_eq!(holder(&build_index(&records)), Some(id(2)));
 }
 
 #[test]
-fn a_run_that_ended_is_not_released() {
-    let index = index_of(&[(0, claim(1)), (1, done(1)), (2, release(1)), (3, claim(2))]);
-    assert!(matches!(index.key_status(&KEY), KeyStatus::Done(held, _) if held.id == id(1)));
+fn a_completed_run_is_not_released() {
+    let index = build_index(&[(0, claim(1)), (1, done(1)), (2, release(1)), (3, claim(2))]);
+    assert!(matches!(index.key_status(&KEY), KeyStatus::Done(holder, _) if holder.id == id(1)));
 }
 
 #[test]
-fn a_key_is_remembered_for_the_window_after_its_last_entry() {
-    let mut index = index_of(&[(0, claim(1)), (WINDOW_MS, claim(2))]);
+fn a_key_is_retained_for_the_window_after_its_last_entry() {
+    let mut index = build_index(&[(0, claim(1)), (WINDOW_MS, claim(2))]);
     read(&mut index, 2, &[(2 * WINDOW_MS, claim(3))]);
     assert_eq!(holder(&index), Some(id(1)));
     read(&mut index, 3, &[(3 * WINDOW_MS + 1, claim(4))]);
     assert_eq!(holder(&index), Some(id(4)));
 }
 
-/// If a lost claim did not count for the window, the view that began later would
-/// see claim 2 hold the key from 6 s to 16 s and then claim 4 win at 17 s, while
-/// claim 3 won at 11 s for whoever had read claim 1 at 0 s.
+/// Guards against two winners. If a claim that did not win were not counted for
+/// the window, an index that starts later would see claim 2 hold the key from 6 s
+/// to 16 s and claim 4 win at 17 s, while an index that read claim 1 at 0 s would
+/// see claim 3 win at 11 s.
 #[test]
 fn a_view_that_began_later_never_lets_a_second_claim_win() {
     let records = [
@@ -159,74 +160,81 @@
         (11_000, claim(3)),
         (17_000, claim(4)),
     ];
-    let whole = index_of(&records);
-    let mut later = ClaimIndex::new(INDEX);
-    read(&mut later, 1, &records[1..]);
-    let won = |index: &ClaimIndex, of| {
-        matches!(index.claim_status(&KEY, id(of)), ClaimStatus::Won { .. })
+    let complete = build_index(&records);
+    let mut partial = ClaimIndex::new(INDEX_LIMITS);
+    read(&mut partial, 1, &records[1..]);
+    let is_won = |index: &ClaimIndex, incarnation| {
+        matches!(
+            index.claim_status(&KEY, id(incarnation)),
+            ClaimStatus::Won { .. }
+        )
     };
-    let winners = [3, 4].map(|of| won(&whole, of) || won(&later, of));
+    let winners =
+        [3, 4].map(|incarnation| is_won(&complete, incarnation) || is_won(&partial, incarnation));
     assert_eq!(winners, [false, false]);
 }
 
 #[test]
 fn nothing_is_decided_before_the_window_was_read() {
-    let mut index = ClaimIndex::new(INDEX);
+    let mut index = ClaimIndex::new(INDEX_LIMITS);
     read(&mut index, 5, &[(0, claim(1))]);
     assert_eq!(index.claim_status(&KEY, id(1)), ClaimStatus::Undecidable);
     assert!(!index.is_complete());
     read(
         &mut index,
         6,
-        &[(WINDOW_MS + 1, claim_of(KeyHash([9; 16]), 2))],
+        &[(WINDOW_MS + 1, claim_for_key(KeyHash([9; 16]), 2))],
     );
     assert!(index.is_complete());
     assert_eq!(index.claim_status(&KEY, id(1)), ClaimStatus::NotHeld);
 }
 
-/// The release that says that something ran may stand before what was read.
+/// The release that records an earlier run may precede the records that were read.
 #[test]
 fn a_view_that_began_later_does_not_tell_that_nothing_ran() {
-    let ran = Entry::Release {
+    let release_after_run = Entry::Release {
         key: KEY,
         id: id(1),
         ran: true,
     };
     let records = [
         (0, claim(1)),
-        (1, ran),
+        (1, release_after_run),
         (6_000, release(7)),
         (11_000, claim(2)),
         (16_001, claim(3)),
     ];
     let claim_status = |from: usize| {
-        let mut index = ClaimIndex::new(INDEX);
+        let mut index = ClaimIndex::new(INDEX_LIMITS);
         read(&mut index, from as u64, &records[from..]);
         index.claim_status(&KEY, id(2))
     };
-    let nothing_known = ClaimStatus::Won {
+    let won_after_unknown_calls = ClaimStatus::Won {
         no_prior_calls: false,
     };
-    assert_eq!([0, 1].map(claim_status), [nothing_known; 2]);
+    assert_eq!([0, 1].map(claim_status), [won_after_unknown_calls; 2]);
 }
 
 #[test]
-fn a_gap_or_an_unreadable_record_starts_the_index_again() {
-    let mut gap = index_of(&[(0, claim(1)), (1, release(1))]);
-    read(&mut gap, 7, &[(2, claim(2))]);
-    assert_eq!(gap.claim_status(&KEY, id(2)), ClaimStatus::Undecidable);
-    let mut unreadable = index_of(&[(0, claim(1)), (1, release(1))]);
-    apply(&mut unreadable, 2, 2, None);
-    read(&mut unreadable, 3, &[(3, claim(2))]);
+fn a_gap_or_an_unreadable_record_resets_the_index() {
+    let mut after_gap = build_index(&[(0, claim(1)), (1, release(1))]);
+    read(&mut after_gap, 7, &[(2, claim(2))]);
     assert_eq!(
-        unreadable.claim_status(&KEY, id(2)),
+        after_gap.claim_status(&KEY, id(2)),
+        ClaimStatus::Undecidable
+    );
+    let mut after_unreadable = build_index(&[(0, claim(1)), (1, release(1))]);
+    apply(&mut after_unreadable, 2, 2, None);
+    read(&mut after_unreadable, 3, &[(3, claim(2))]);
+    assert_eq!(
+        after_unreadable.claim_status(&KEY, id(2)),
         ClaimStatus::Undecidable
     );
 }
 
 #[test]
 fn a_record_delivered_twice_counts_once() {
-    let mut index = index_of(&[(0, claim(1)), (1, release(1))]);
+    let mut index = build_index(&[(0, claim(1)), (1, release(1))]);
     read(&mut index, 0, &[(0, claim(2))]);
     assert_eq!((holder(&index), index.next()), (None, Offset(2)));
 }
@@ -234,9 +242,9 @@
 #[test]
 fn the_index_is_bounded() {
     let keys: Vec<(u64, Entry)> = (1..=5)
-        .map(|n| (0, claim_of(KeyHash([n; 16]), n.into())))
+        .map(|n| (0, claim_for_key(KeyHash([n; 16]), n.into())))
         .collect();
-    let index = index_of(&keys);
+    let index = build_index(&keys);
     assert!(index.is_empty() && !index.is_complete());
     let answers: Vec<(u64, Entry)> = (1..=3)
         .flat_map(|n| {
@@ -247,19 +255,19 @@
                 id,
                 completion,
             };
-            [(0, claim_of(key, n.into())), (0, done)]
+            [(0, claim_for_key(key, n.into())), (0, done)]
         })
         .collect();
-    let index = index_of(&answers);
-    let kept = |n: u8| match index.key_status(&KeyHash([n; 16])) {
+    let index = build_index(&answers);
+    let has_answer = |n: u8| match index.key_status(&KeyHash([n; 16])) {
         KeyStatus::Done(_, completion) => completion.answer.is_some(),
         KeyStatus::Free | KeyStatus::Claimed(_) => panic!("key {n} is forgotten"),
     };
-    assert_eq!([1, 2, 3].map(kept), [false, true, true]);
+    assert_eq!([1, 2, 3].map(has_answer), [false, true, true]);
 }
 
 #[test]
-fn a_large_answer_is_not_kept_but_its_outcome_is() {
+fn a_large_answer_is_not_stored_but_its_outcome_is() {
     let completion = Completion::new(Outcome::Complete, &[0; MAX_ANSWER_BYTES + 1]);
     assert_eq!(
         (completion.outcome, completion.answer),
@@ -268,7 +276,7 @@
 }
 
 #[test]
-fn the_same_key_of_two_workspaces_differs() {
+fn the_same_key_in_two_workspaces_has_different_hashes() {
     let hash = |workspace: &str, key: &str| {
         KeyHash::of(&WorkspaceName::from(workspace), &IdempotencyKey::from(key))
     };
@@ -276,7 +284,7 @@
     assert_eq!(hash("ab", "c"), hash("ab", "c"));
 }
 
-/// Instances over one log that every test reads and appends to by hand.
+/// A shared log that tests read from and append to explicitly.
 struct Log {
     records: Vec<(u64, Batch)>,
 }
@@ -290,8 +298,8 @@
 
     fn start(&self, incarnation: u64) -> Claimant {
         let limits = ClaimLimits {
-            index: INDEX,
-            batch: BATCH,
+            index: INDEX_LIMITS,
+            batch: BATCH_LIMITS,
             max_abandoned: 8,
         };
         let mut claimant = Claimant::new(
@@ -305,7 +313,7 @@
 
     fn read(&self, now_ms: u64, claimant: &mut Claimant) -> Vec<AttemptDecision> {
         let from = claimant.index().next().0;
-        let mut steps = Vec::new();
+        let mut decisions = Vec::new();
         for (offset, (appended_at_ms, batch)) in (0..).zip(&self.records) {
             if offset >= from {
                 let record = ClaimRecord {
@@ -313,10 +321,10 @@
                     appended_at_ms: *appended_at_ms,
                     batch: Some(batch),
                 };
-                steps.extend(claimant.on_record(now_ms, &record));
+                decisions.extend(claimant.on_record(now_ms, &record));
             }
         }
-        steps
+        decisions
     }
 
     fn append(&mut self, now_ms: u64, claimant: &mut Claimant, result: AppendResult) {
@@ -325,32 +333,32 @@
         claimant.on_append_result(result);
     }
 
-    /// Appends what waits and reads it back.
-    fn settle(&mut self, now_ms: u64, claimant: &mut Claimant) -> Vec<AttemptDecision> {
+    /// Appends the next batch and reads it back.
+    fn append_and_read(&mut self, now_ms: u64, claimant: &mut Claimant) -> Vec<AttemptDecision> {
         self.append(now_ms, claimant, AppendResult::Appended);
         self.read(now_ms, claimant)
     }
 }
 
-fn ask(deadline_ms: u64) -> ClaimRequest {
+fn claim_request(deadline_ms: u64) -> ClaimRequest {
     ClaimRequest {
         key: KEY,
-        fingerprint: PRINT,
+        fingerprint: FINGERPRINT,
         deadline_ms,
     }
 }
 
 fn begin(now_ms: u64, claimant: &mut Claimant, deadline_ms: u64) -> Attempt {
-    let StartedAttempt { attempt, decision } = claimant.begin(now_ms, ask(deadline_ms));
+    let StartedAttempt { attempt, decision } = claimant.begin(now_ms, claim_request(deadline_ms));
     assert_eq!(decision, None);
     attempt
 }
 
-fn win(now_ms: u64, log: &mut Log, claimant: &mut Claimant, deadline_ms: u64) -> Attempt {
+fn win_claim(now_ms: u64, log: &mut Log, claimant: &mut Claimant, deadline_ms: u64) -> Attempt {
     let attempt = begin(now_ms, claimant, deadline_ms);
     let decision = Decision::Won;
     assert_eq!(
-        log.settle(now_ms, claimant),
+        log.append_and_read(now_ms, claimant),
         [AttemptDecision { attempt, decision }]
     );
     attempt
@@ -368,30 +376,30 @@
 }
 
 #[test]
-fn two_instances_at_the_same_moment_have_one_winner() {
+fn concurrent_claims_of_two_instances_have_one_winner() {
     let mut log = Log::new();
     let (mut a, mut b) = (log.start(1), log.start(2));
-    let (of_a, of_b) = (begin(0, &mut a, 1_000), begin(0, &mut b, 1_000));
+    let (attempt_a, attempt_b) = (begin(0, &mut a, 1_000), begin(0, &mut b, 1_000));
     log.append(0, &mut b, AppendResult::Appended);
     log.append(0, &mut a, AppendResult::Appended);
-    // The append's answer decides nothing, for the one nor for the other.
+    // The append response decides neither attempt.
     assert_eq!(
-        a.permit(1, of_a, 0, ONCE),
+        a.permit(1, attempt_a, 0, NON_IDEMPOTENT),
         Permit::Refused(ClaimReason::NotHolder)
     );
     assert_eq!(
-        b.permit(1, of_b, 0, ONCE),
+        b.permit(1, attempt_b, 0, NON_IDEMPOTENT),
         Permit::Refused(ClaimReason::NotHolder)
     );
     log.read(1, &mut a);
     log.read(1, &mut b);
     assert_eq!(
-        a.permit(1, of_a, 0, ONCE),
+        a.permit(1, attempt_a, 0, NON_IDEMPOTENT),
         Permit::Refused(ClaimReason::NotHolder)
     );
-    assert_eq!(b.permit(1, of_b, 0, ONCE), Permit::Send);
+    assert_eq!(b.permit(1, attempt_b, 0, NON_IDEMPOTENT), Permit::Send);
     assert_eq!(
-        b.permit(1, of_b, 0, ONCE),
+        b.permit(1, attempt_b, 0, NON_IDEMPOTENT),
         Permit::Refused(ClaimReason::AlreadySent)
     );
 }
@@ -402,45 +410,48 @@
     let mut a = log.start(1);
     let attempt = begin(0, &mut a, 1_000);
     log.append(0, &mut a, AppendResult::NotConfirmed);
-    let steps = log.read(10, &mut a);
+    let decisions = log.read(10, &mut a);
     let decision = Decision::Won;
-    assert_eq!(steps, [AttemptDecision { attempt, decision }]);
-    assert_eq!(a.permit(10, attempt, 0, ONCE), Permit::Send);
+    assert_eq!(decisions, [AttemptDecision { attempt, decision }]);
+    assert_eq!(a.permit(10, attempt, 0, NON_IDEMPOTENT), Permit::Send);
 }
 
 #[test]
 fn a_freeze_past_the_deadline_sends_nothing_and_frees_the_key() {
     let mut log = Log::new();
     let (mut a, mut b) = (log.start(1), log.start(2));
-    let of_a = win(0, &mut log, &mut a, 1_000);
+    let attempt_a = win_claim(0, &mut log, &mut a, 1_000);
     assert_eq!(
-        a.permit(3_000, of_a, 0, ONCE),
+        a.permit(3_000, attempt_a, 0, NON_IDEMPOTENT),
         Permit::Refused(ClaimReason::Deadline)
     );
-    assert_eq!(a.finish(3_000, of_a, Outcome::Failed, b""), Outcome::NotRun);
+    assert_eq!(
+        a.finish(3_000, attempt_a, Outcome::Failed, b""),
+        Outcome::NotRun
+    );
     log.read(3_000, &mut b);
     let StartedAttempt {
-        attempt: of_b,
+        attempt: attempt_b,
         decision,
-    } = b.begin(3_000, ask(4_000));
+    } = b.begin(3_000, claim_request(4_000));
     assert!(matches!(decision, Some(Decision::Join(_))));
-    log.settle(3_000, &mut a);
-    // The release lets the waiting attempt ask again by itself.
+    log.append_and_read(3_000, &mut a);
+    // After the release the waiting attempt claims the key again.
     log.read(3_010, &mut b);
-    log.settle(3_010, &mut b);
-    assert_eq!(b.permit(3_020, of_b, 0, ONCE), Permit::Send);
+    log.append_and_read(3_010, &mut b);
+    assert_eq!(b.permit(3_020, attempt_b, 0, NON_IDEMPOTENT), Permit::Send);
 }
 
 #[test]
 fn a_claim_older_than_half_the_window_is_never_sent_on() {
     let mut log = Log::new();
     let mut a = log.start(1);
-    let attempt = win(0, &mut log, &mut a, 5 * WINDOW_MS);
+    let attempt = win_claim(0, &mut log, &mut a, 5 * WINDOW_MS);
     let too_old = Permit::Refused(ClaimReason::ClaimTooOld);
-    assert_eq!(a.permit(WINDOW_MS / 2, attempt, 0, ONCE), too_old);
-    // By now another attempt may have run: "not run" can't be told.
-    let told = a.finish(2 * WINDOW_MS, attempt, Outcome::Failed, b"");
-    assert_eq!(told, Outcome::NotStarted);
+    assert_eq!(a.permit(WINDOW_MS / 2, attempt, 0, NON_IDEMPOTENT), too_old);
+    // Another attempt may have run by now, so "not run" must not be reported.
+    let reported = a.finish(2 * WINDOW_MS, attempt, Outcome::Failed, b"");
+    assert_eq!(reported, Outcome::NotStarted);
 }
 
 #[test]
@@ -453,48 +464,48 @@
     assert_eq!(a.on_tick(1_000), [AttemptDecision { attempt, decision }]);
     assert_eq!(log.read(1_100, &mut a), []);
     assert_eq!(
-        a.permit(1_100, attempt, 0, ONCE),
+        a.permit(1_100, attempt, 0, NON_IDEMPOTENT),
         Permit::Refused(ClaimReason::NotHolder)
     );
-    log.settle(1_100, &mut a);
+    log.append_and_read(1_100, &mut a);
     log.read(1_200, &mut b);
-    let of_b = win(1_200, &mut log, &mut b, 2_000);
-    assert_eq!(b.permit(1_300, of_b, 0, ONCE), Permit::Send);
+    let attempt_b = win_claim(1_200, &mut log, &mut b, 2_000);
+    assert_eq!(b.permit(1_300, attempt_b, 0, NON_IDEMPOTENT), Permit::Send);
 }
 
 #[test]
 fn a_run_before_is_remembered_when_a_later_attempt_sends_nothing() {
     let mut log = Log::new();
     let mut a = log.start(1);
-    let first = win(0, &mut log, &mut a, 1_000);
+    let first = win_claim(0, &mut log, &mut a, 1_000);
     assert_eq!(a.permit(1, first, 0, CallKind::Idempotent), Permit::Send);
     assert_eq!(a.finish(10, first, Outcome::Failed, b""), Outcome::Failed);
-    log.settle(100, &mut a);
-    let second = win(200, &mut log, &mut a, 1_000);
-    let told = a.finish(210, second, Outcome::NotRun, b"");
-    assert_eq!(told, Outcome::NotStarted);
+    log.append_and_read(100, &mut a);
+    let second = win_claim(200, &mut log, &mut a, 1_000);
+    let reported = a.finish(210, second, Outcome::NotRun, b"");
+    assert_eq!(reported, Outcome::NotStarted);
 }
 
 #[test]
 fn a_refused_call_may_go_elsewhere_but_is_not_told_as_not_run() {
     let mut log = Log::new();
     let mut a = log.start(1);
-    let attempt = win(0, &mut log, &mut a, 1_000);
-    assert_eq!(a.permit(1, attempt, 0, ONCE), Permit::Send);
+    let attempt = win_claim(0, &mut log, &mut a, 1_000);
+    assert_eq!(a.permit(1, attempt, 0, NON_IDEMPOTENT), Permit::Send);
     a.retract(attempt, Retraction::Refused);
-    assert_eq!(a.permit(2, attempt, 0, ONCE), Permit::Send);
+    assert_eq!(a.permit(2, attempt, 0, NON_IDEMPOTENT), Permit::Send);
     a.retract(attempt, Retraction::Refused);
     assert_eq!(a.finish(3, attempt, Outcome::NotRun, b""), Outcome::Failed);
 }
 
 #[test]
-fn what_was_sent_is_never_told_as_safe_to_repeat() {
+fn a_sent_call_is_never_reported_as_safe_to_retry() {
     let mut log = Log::new();
     let mut a = log.start(1);
-    let attempt = win(0, &mut log, &mut a, 1_000);
-    assert_eq!(a.permit(1, attempt, 1, ONCE), Permit::Send);
+    let attempt = win_claim(0, &mut log, &mut a, 1_000);
+    assert_eq!(a.permit(1, attempt, 1, NON_IDEMPOTENT), Permit::Send);
     assert_eq!(
-        a.permit(1, attempt, 0, ONCE),
+        a.permit(1, attempt, 0, NON_IDEMPOTENT),
         Permit::Refused(ClaimReason::AlreadySent)
     );
     assert_eq!(a.finish(2, attempt, Outcome::Failed, b""), Outcome::Unknown);
@@ -504,35 +515,35 @@
 fn a_repeat_gets_the_first_answer_and_another_request_is_refused() {
     let mut log = Log::new();
     let (mut a, mut b) = (log.start(1), log.start(2));
-    let attempt = win(0, &mut log, &mut a, 1_000);
-    assert_eq!(a.permit(1, attempt, 0, ONCE), Permit::Send);
+    let attempt = win_claim(0, &mut log, &mut a, 1_000);
+    assert_eq!(a.permit(1, attempt, 0, NON_IDEMPOTENT), Permit::Send);
     a.finish(2, attempt, Outcome::Complete, b"held");
-    log.settle(60, &mut a);
+    log.append_and_read(60, &mut a);
     log.read(60, &mut b);
     let recorded = Decision::Recorded(Completion::new(Outcome::Complete, b"held"));
-    assert_eq!(b.begin(70, ask(1_000)).decision, Some(recorded));
+    assert_eq!(b.begin(70, claim_request(1_000)).decision, Some(recorded));
     let other = ClaimRequest {
         fingerprint: Fingerprint([3; 16]),
-        ..ask(1_000)
+        ..claim_request(1_000)
     };
     assert_eq!(b.begin(70, other).decision, Some(Decision::Misuse));
 }
 
 #[test]
-fn a_repeat_after_the_holder_died_is_unknown_at_once() {
+fn a_retry_after_the_holder_died_is_unknown_immediately() {
     let mut log = Log::new();
     let (mut a, mut b) = (log.start(1), log.start(2));
-    win(0, &mut log, &mut a, 1_000);
+    win_claim(0, &mut log, &mut a, 1_000);
     drop(a);
     log.read(5, &mut b);
-    let StartedAttempt { attempt, decision } = b.begin(10, ask(1_000));
+    let StartedAttempt { attempt, decision } = b.begin(10, claim_request(1_000));
     assert_eq!(decision, Some(Decision::Join(first_run())));
     let unknown = ended(Outcome::Unknown, ClaimReason::HolderUnreachable);
     assert_eq!(b.on_holder_unreachable(10, attempt), Some(unknown));
 }
 
 #[test]
-fn a_gap_ends_waiting_attempts_at_once() {
+fn a_gap_ends_pending_attempts_immediately() {
     let log = Log::new();
     let mut a = log.start(1);
     let attempt = begin(0, &mut a, 1_000);
@@ -549,11 +560,11 @@
             decision: decision.clone()
         }]
     );
-    assert_eq!(a.begin(6, ask(1_000)).decision, Some(decision));
+    assert_eq!(a.begin(6, claim_request(1_000)).decision, Some(decision));
 }
 
 #[test]
-fn a_log_that_is_away_is_told_at_once_and_tried_again() {
+fn an_unavailable_log_fails_attempts_immediately_and_is_retried() {
     let mut log = Log::new();
     let mut a = log.start(1);
     begin(0, &mut a, 1_000);
@@ -561,19 +572,22 @@
         assert!(a.poll_append(now_ms).is_some());
         a.on_append_result(AppendResult::NotConfirmed);
     }
-    let away = ended(Outcome::NotStarted, ClaimReason::LogUnavailable);
-    assert_eq!(a.begin(160, ask(1_000)).decision, Some(away));
-    log.settle(300, &mut a);
+    let unavailable = ended(Outcome::NotStarted, ClaimReason::LogUnavailable);
+    assert_eq!(
+        a.begin(160, claim_request(1_000)).decision,
+        Some(unavailable)
+    );
+    log.append_and_read(300, &mut a);
     assert_eq!(
-        a.begin(301, ask(1_000)).decision,
+        a.begin(301, claim_request(1_000)).decision,
         Some(Decision::Join(first_run()))
     );
 }
 
 #[test]
-fn appends_are_grouped_one_at_a_time_and_spaced() {
-    let mut batcher = ClaimBatcher::new(BATCH);
-    (1..=5).for_each(|of| batcher.push(claim(of)));
+fn appends_are_batched_sequential_and_spaced() {
+    let mut batcher = ClaimBatcher::new(BATCH_LIMITS);
+    (1..=5).for_each(|incarnation| batcher.push(claim(incarnation)));
     let first = batcher.poll(1_000).map(|batch| batch.entries.len());
     assert_eq!((first, batcher.poll(2_000)), (Some(4), None));
     batcher.on_result(AppendResult::Appended, |_| true);
@@ -587,18 +601,18 @@
 }
 
 #[test]
-fn a_batch_stays_under_its_size() {
+fn a_batch_stays_within_its_size_limit() {
     let limits = BatchLimits {
         max_bytes: 260,
-        ..BATCH
+        ..BATCH_LIMITS
     };
     let mut batcher = ClaimBatcher::new(limits);
-    (1..=4).for_each(|of| batcher.push(claim(of)));
+    (1..=4).for_each(|incarnation| batcher.push(claim(incarnation)));
     assert_eq!(batcher.poll(0).map(|batch| batch.entries.len()), Some(2));
 }
 
 #[test]
-fn the_interval_keeps_all_instances_under_the_rate() {
+fn the_interval_keeps_all_instances_within_the_rate() {
     assert_eq!(interval_ms(8, 100), 80);
     assert_eq!(interval_ms(570, 100), 5_700);
     assert_eq!(interval_ms(0, 0), 1_000);
--- a/crates/core/tests/claims_world/mod.rs
+++ b/crates/core/tests/claims_world/mod.rs
@@ -1,4 +1,5 @@
-//! A few instances over one log that loses answers, delays appends and trims.
+//! Simulation of several instances over one log that loses responses, delays
+//! appends and trims records.
 
 #[path = "../fate/mod.rs"]
 mod fate;
@@ -25,7 +26,7 @@
 pub const INSTANCES: usize = 3;
 const SEED: u64 = 0x5eed;
 const GEN_SIZE: usize = 160;
-const PASSES_MS: [u64; 6] = [1, 10, 100, 1_000, 4_000, 9_000];
+const TIME_STEPS_MS: [u64; 6] = [1, 10, 100, 1_000, 4_000, 9_000];
 const STAGES: u32 = 2;
 
 pub fn seeded(tests: u64) -> QuickCheck {
@@ -51,67 +52,67 @@
     }
 }
 
-/// One thing that happens; small numbers choose among what there is.
+/// A simulated operation. Small numbers select among the existing items.
 #[derive(Clone, Copy, Debug)]
 pub enum Op {
     Begin {
-        at: usize,
+        node: usize,
         key: u8,
         allowed_ms: u64,
     },
     Append {
-        at: usize,
+        node: usize,
         fate: Fate,
     },
-    Arrive {
-        which: usize,
+    DeliverLate {
+        index: usize,
     },
     Read {
-        at: usize,
-        most: usize,
+        node: usize,
+        max_records: usize,
     },
     Tick {
-        at: usize,
+        node: usize,
     },
-    Pass {
+    AdvanceTime {
         ms: u64,
     },
     Send {
-        at: usize,
-        which: usize,
+        node: usize,
+        index: usize,
         stage: u32,
     },
     RunIdempotent {
-        at: usize,
-        which: usize,
+        node: usize,
+        index: usize,
     },
     Retract {
-        at: usize,
-        which: usize,
+        node: usize,
+        index: usize,
         cause: Retraction,
     },
     Finish {
-        at: usize,
-        which: usize,
+        node: usize,
+        index: usize,
         outcome: Outcome,
     },
     HolderUnreachable {
-        at: usize,
-        which: usize,
+        node: usize,
+        index: usize,
     },
     Kill {
-        at: usize,
+        node: usize,
     },
     Trim {
-        keep: usize,
+        retained: usize,
     },
-    Garble,
+    AppendUnreadable,
 }
 
 impl Arbitrary for Op {
     fn arbitrary(g: &mut Gen) -> Self {
-        let at = usize::arbitrary(g) % INSTANCES;
-        let which = usize::arbitrary(g) % 2;
+        let node = usize::arbitrary(g) % INSTANCES;
+        let index = usize::arbitrary(g) % 2;
         let fates = [
             Fate::Appended,
             Fate::Appended,
@@ -125,47 +126,47 @@
         let causes = [Retraction::NotWritten, Retraction::Refused];
         match u32::arbitrary(g) % 200 {
             0..30 => Self::Begin {
-                at,
+                node,
                 key: u8::from(u8::arbitrary(g) % 8 == 0),
                 allowed_ms: 500 + u64::arbitrary(g) % 8_000,
             },
-            30..70 => Self::Append { at, fate },
-            70..78 => Self::Arrive { which },
+            30..70 => Self::Append { node, fate },
+            70..78 => Self::DeliverLate { index },
             78..120 => Self::Read {
-                at,
-                most: 1 + usize::arbitrary(g) % 6,
+                node,
+                max_records: 1 + usize::arbitrary(g) % 6,
             },
-            120..126 => Self::Tick { at },
-            126..140 => Self::Pass {
-                ms: *g.choose(&PASSES_MS).expect("times"),
+            120..126 => Self::Tick { node },
+            126..140 => Self::AdvanceTime {
+                ms: *g.choose(&TIME_STEPS_MS).expect("times"),
             },
             140..160 => Self::Send {
-                at,
-                which,
+                node,
+                index,
                 stage: u32::arbitrary(g) % STAGES,
             },
-            160..166 => Self::RunIdempotent { at, which },
+            160..166 => Self::RunIdempotent { node, index },
             166..174 => Self::Retract {
-                at,
-                which,
+                node,
+                index,
                 cause: *g.choose(&causes).expect("causes"),
             },
             174..190 => Self::Finish {
-                at,
-                which,
+                node,
+                index,
                 outcome: *g.choose(&Outcome::ALL).expect("outcomes"),
             },
-            190..194 => Self::HolderUnreachable { at, which },
-            194..197 => Self::Kill { at },
+            190..194 => Self::HolderUnreachable { node, index },
+            194..197 => Self::Kill { node },
             197..199 => Self::Trim {
-                keep: usize::arbitrary(g) % 8,
+                retained: usize::arbitrary(g) % 8,
             },
-            _ => Self::Garble,
+            _ => Self::AppendUnreadable,
         }
     }
 }
 
-struct Stored {
+struct LogRecord {
     appended_at_ms: u64,
     batch: Option<Batch>,
 }
@@ -176,34 +177,34 @@
     pending: HashMap<Attempt, u8>,
 }
 
-/// A call that was handed out.
+/// A non-idempotent call that was permitted.
 #[derive(Clone, Copy, Debug)]
-struct Sent {
+struct SentCall {
     key: u8,
     stage: u32,
     at_ms: u64,
-    by: (u64, Attempt),
+    run: (u64, Attempt),
 }
 
-/// What an attempt has handed out so far.
+/// State of the non-idempotent calls of an attempt.
 #[derive(Clone, Copy, Debug, Default)]
-struct Trace {
+struct AttemptTrace {
     sent: bool,
     retractable: bool,
 }
 
 pub struct World {
     pub now_ms: u64,
-    log: Vec<Stored>,
-    first: usize,
-    late: Vec<Batch>,
+    log: Vec<LogRecord>,
+    first_retained: usize,
+    delayed: Vec<Batch>,
     instances: Vec<Instance>,
     incarnations: u64,
-    sent: Vec<Sent>,
+    sent: Vec<SentCall>,
     ran: Vec<(u8, u64)>,
-    traces: HashMap<(u64, Attempt), Trace>,
-    pub told: Vec<(u8, Decision)>,
-    pub faults: Vec<String>,
+    traces: HashMap<(u64, Attempt), AttemptTrace>,
+    pub decisions: Vec<(u8, Decision)>,
+    pub violations: Vec<String>,
 }
 
 impl World {
@@ -211,23 +212,23 @@
         let mut world = Self {
             now_ms: 1_000_000,
             log: Vec::new(),
-            first: 0,
-            late: Vec::new(),
+            first_retained: 0,
+            delayed: Vec::new(),
             instances: Vec::new(),
             incarnations: 0,
             sent: Vec::new(),
             ran: Vec::new(),
             traces: HashMap::new(),
-            told: Vec::new(),
-            faults: Vec::new(),
+            decisions: Vec::new(),
+            violations: Vec::new(),
         };
-        world.store(Some(Batch::default()));
+        world.store_record(Some(Batch::default()));
         for _ in 0..INSTANCES {
             let instance = world.start();
             world.instances.push(instance);
         }
-        for at in 0..INSTANCES {
-            world.read(at, usize::MAX);
+        for node in 0..INSTANCES {
+            world.read(node, usize::MAX);
         }
         world
     }
@@ -245,14 +246,15 @@
         }
     }
 
-    /// Clocks of instances differ from each other and from the log's.
-    fn clock(&self, at: usize) -> u64 {
-        self.now_ms - 900_000 + 7_777 * at as u64
+    /// Returns the clock of an instance, which differs from the clocks of the
+    /// other instances and of the log.
+    fn clock(&self, node: usize) -> u64 {
+        self.now_ms - 900_000 + 7_777 * node as u64
     }
 
-    fn store(&mut self, batch: Option<Batch>) {
+    fn store_record(&mut self, batch: Option<Batch>) {
         let appended_at_ms = self.now_ms;
-        self.log.push(Stored {
+        self.log.push(LogRecord {
             appended_at_ms,
             batch,
         });
@@ -261,53 +263,61 @@
     pub fn apply(&mut self, op: Op) {
         match op {
             Op::Begin {
-                at,
+                node,
                 key,
                 allowed_ms,
-            } => self.begin(at, key, allowed_ms),
-            Op::Append { at, fate } => self.append(at, fate),
-            Op::Arrive { which } => {
-                if which < self.late.len() {
-                    let batch = self.late.remove(which);
-                    self.store(Some(batch));
+            } => self.begin(node, key, allowed_ms),
+            Op::Append { node, fate } => self.append(node, fate),
+            Op::DeliverLate { index } => {
+                if index < self.delayed.len() {
+                    let batch = self.delayed.remove(index);
+                    self.store_record(Some(batch));
                 }
             }
-            Op::Read { at, most } => self.read(at, most),
-            Op::Tick { at } => {
-                let now = self.clock(at);
-                let steps = self.instances[at].claimant.on_tick(now);
-                self.take(at, steps);
+            Op::Read { node, max_records } => self.read(node, max_records),
+            Op::Tick { node } => {
+                let now = self.clock(node);
+                let decided = self.instances[node].claimant.on_tick(now);
+                self.apply_decisions(node, decided);
             }
-            Op::Pass { ms } => self.now_ms += ms,
-            Op::Send { at, which, stage } => self.send(at, which, stage),
-            Op::RunIdempotent { at, which } => self.run_idempotent(at, which),
-            Op::Retract { at, which, cause } => self.retract(at, which, cause),
-            Op::Finish { at, which, outcome } => self.finish(at, which, outcome),
-            Op::HolderUnreachable { at, which } => self.holder_gone(at, which),
-            Op::Kill { at } => self.instances[at] = self.start(),
-            Op::Trim { keep } => self.first = self.first.max(self.log.len().saturating_sub(keep)),
-            Op::Garble => self.store(None),
+            Op::AdvanceTime { ms } => self.now_ms += ms,
+            Op::Send { node, index, stage } => self.send(node, index, stage),
+            Op::RunIdempotent { node, index } => self.run_idempotent(node, index),
+            Op::Retract { node, index, cause } => self.retract(node, index, cause),
+            Op::Finish {
+                node,
+                index,
+                outcome,
+            } => self.finish(node, index, outcome),
+            Op::HolderUnreachable { node, index } => self.holder_unreachable(node, index),
+            Op::Kill { node } => self.instances[node] = self.start(),
+            Op::Trim { retained } => {
+                self.first_retained = self
+                    .first_retained
+                    .max(self.log.len().saturating_sub(retained))
+            }
+            Op::AppendUnreadable => self.store_record(None),
         }
     }
 
-    pub fn begin(&mut self, at: usize, key: u8, allowed_ms: u64) {
-        let now = self.clock(at);
-        let ask = ClaimRequest {
+    pub fn begin(&mut self, node: usize, key: u8, allowed_ms: u64) {
+        let now = self.clock(node);
+        let request = ClaimRequest {
             key: KeyHash([key; 16]),
             fingerprint: Fingerprint([key; 16]),
             deadline_ms: now + allowed_ms,
         };
-        let instance = &mut self.instances[at];
-        let StartedAttempt { attempt, decision } = instance.claimant.begin(now, ask);
+        let instance = &mut self.instances[node];
+        let StartedAttempt { attempt, decision } = instance.claimant.begin(now, request);
         instance.pending.insert(attempt, key);
         if let Some(decision) = decision {
-            self.take(at, vec![AttemptDecision { attempt, decision }]);
+            self.apply_decisions(node, vec![AttemptDecision { attempt, decision }]);
         }
     }
 
-    pub fn append(&mut self, at: usize, fate: Fate) {
-        let now = self.clock(at);
-        let claimant = &mut self.instances[at].claimant;
+    pub fn append(&mut self, node: usize, fate: Fate) {
+        let now = self.clock(node);
+        let claimant = &mut self.instances[node].claimant;
         let Some(batch) = claimant.poll_append(now).cloned() else {
             return;
         };
@@ -317,40 +327,40 @@
         };
         claimant.on_append_result(result);
         match fate {
-            Fate::Appended | Fate::AnswerLost => self.store(Some(batch)),
+            Fate::Appended | Fate::AnswerLost => self.store_record(Some(batch)),
             Fate::NeverArrived => {}
-            Fate::ArrivesLater => self.late.push(batch),
+            Fate::ArrivesLater => self.delayed.push(batch),
             Fate::DoneTwice => {
-                self.late.push(batch.clone());
-                self.store(Some(batch));
+                self.delayed.push(batch.clone());
+                self.store_record(Some(batch));
             }
         }
     }
 
-    pub fn read(&mut self, at: usize, most: usize) {
-        let now = self.clock(at);
-        for _ in 0..most {
-            let claimant = &mut self.instances[at].claimant;
+    pub fn read(&mut self, node: usize, max_records: usize) {
+        let now = self.clock(node);
+        for _ in 0..max_records {
+            let claimant = &mut self.instances[node].claimant;
             let next = claimant.index().next().0 as usize;
-            let from = next.max(self.first);
-            let Some(stored) = self.log.get(from) else {
+            let from = next.max(self.first_retained);
+            let Some(log_record) = self.log.get(from) else {
                 return;
             };
             let record = ClaimRecord {
                 offset: Offset(from as u64),
-                appended_at_ms: stored.appended_at_ms,
-                batch: stored.batch.as_ref(),
+                appended_at_ms: log_record.appended_at_ms,
+                batch: log_record.batch.as_ref(),
             };
-            let steps = claimant.on_record(now, &record);
-            self.take(at, steps);
+            let decided = claimant.on_record(now, &record);
+            self.apply_decisions(node, decided);
         }
     }
 
-    fn take(&mut self, at: usize, steps: Vec<AttemptDecision>) {
-        for AttemptDecision { attempt, decision } in steps {
-            let instance = &mut self.instances[at];
+    fn apply_decisions(&mut self, node: usize, decided: Vec<AttemptDecision>) {
+        for AttemptDecision { attempt, decision } in decided {
+            let instance = &mut self.instances[node];
             let Some(&key) = instance.pending.get(&attempt) else {
-                self.faults
+                self.violations
                     .push(format!("{attempt:?} decided twice: {decision:?}"));
                 continue;
             };
@@ -362,140 +372,142 @@
                 }
                 Decision::Ended(ending) => {
                     instance.pending.remove(&attempt);
-                    self.check_told(key, ending.outcome, None);
+                    self.check_outcome(key, ending.outcome, None);
                 }
                 Decision::Recorded(_) | Decision::Misuse => {
                     instance.pending.remove(&attempt);
                 }
             }
-            self.told.push((key, decision));
+            self.decisions.push((key, decision));
         }
     }
 
-    fn chosen(&self, at: usize, which: usize) -> Option<(Attempt, u8)> {
-        self.instances[at].won.get(which).copied()
+    fn won_attempt(&self, node: usize, index: usize) -> Option<(Attempt, u8)> {
+        self.instances[node].won.get(index).copied()
     }
 
-    fn id(&self, at: usize, attempt: Attempt) -> (u64, Attempt) {
-        let first_of_run = &self.instances[at].claimant;
-        (first_of_run.incarnation().0, attempt)
+    fn run_id(&self, node: usize, attempt: Attempt) -> (u64, Attempt) {
+        let claimant = &self.instances[node].claimant;
+        (claimant.incarnation().0, attempt)
     }
 
-    pub fn send(&mut self, at: usize, which: usize, stage: u32) {
-        let Some((attempt, key)) = self.chosen(at, which) else {
+    pub fn send(&mut self, node: usize, index: usize, stage: u32) {
+        let Some((attempt, key)) = self.won_attempt(node, index) else {
             return;
         };
-        let now = self.clock(at);
-        let claimant = &mut self.instances[at].claimant;
+        let now = self.clock(node);
+        let claimant = &mut self.instances[node].claimant;
         if claimant.permit(now, attempt, stage, CallKind::NonIdempotent) != Permit::Send {
             return;
         }
-        let by = self.id(at, attempt);
-        let half = WINDOW_MS / 2;
-        let earlier = self.sent.iter().find(|sent| {
+        let run = self.run_id(node, attempt);
+        let half_window_ms = WINDOW_MS / 2;
+        let conflicting = self.sent.iter().find(|sent| {
             sent.key == key
-                && (sent.by != by || sent.stage == stage)
-                && sent.at_ms + half > self.now_ms
+                && (sent.run != run || sent.stage == stage)
+                && sent.at_ms + half_window_ms > self.now_ms
         });
-        if let Some(earlier) = earlier {
+        if let Some(conflicting) = conflicting {
             let at_ms = self.now_ms;
-            self.faults
-                .push(format!("{by:?} sent {stage} at {at_ms} after {earlier:?}"));
+            self.violations.push(format!(
+                "{run:?} sent {stage} at {at_ms} after {conflicting:?}"
+            ));
         }
-        self.sent.push(Sent {
+        self.sent.push(SentCall {
             key,
             stage,
             at_ms: self.now_ms,
-            by,
+            run,
         });
         self.ran.push((key, self.now_ms));
-        let trace = self.traces.entry(by).or_default();
-        *trace = Trace {
+        let trace = self.traces.entry(run).or_default();
+        *trace = AttemptTrace {
             sent: true,
             retractable: true,
         };
     }
 
-    fn run_idempotent(&mut self, at: usize, which: usize) {
-        if let Some((attempt, key)) = self.chosen(at, which) {
-            let now = self.clock(at);
-            let claimant = &mut self.instances[at].claimant;
+    fn run_idempotent(&mut self, node: usize, index: usize) {
+        if let Some((attempt, key)) = self.won_attempt(node, index) {
+            let now = self.clock(node);
+            let claimant = &mut self.instances[node].claimant;
             if claimant.permit(now, attempt, 0, CallKind::Idempotent) == Permit::Send {
                 self.ran.push((key, self.now_ms));
             }
         }
     }
 
-    fn retract(&mut self, at: usize, which: usize, cause: Retraction) {
-        let Some((attempt, _)) = self.chosen(at, which) else {
+    fn retract(&mut self, node: usize, index: usize, cause: Retraction) {
+        let Some((attempt, _)) = self.won_attempt(node, index) else {
             return;
         };
-        let by = self.id(at, attempt);
-        let Some(trace) = self.traces.get_mut(&by).filter(|trace| trace.retractable) else {
+        let run = self.run_id(node, attempt);
+        let Some(trace) = self.traces.get_mut(&run).filter(|trace| trace.retractable) else {
             return;
         };
         trace.retractable = false;
-        self.instances[at].claimant.retract(attempt, cause);
-        let last = self.sent.iter().rposition(|sent| sent.by == by);
+        self.instances[node].claimant.retract(attempt, cause);
+        let last = self.sent.iter().rposition(|sent| sent.run == run);
         if let Some(last) = last {
             let sent = self.sent.remove(last);
             if cause == Retraction::NotWritten {
                 self.ran.retain(|ran| *ran != (sent.key, sent.at_ms));
             }
         }
-        let still_sent = self.sent.iter().any(|sent| sent.by == by);
-        self.traces.entry(by).or_default().sent = still_sent;
+        let still_sent = self.sent.iter().any(|sent| sent.run == run);
+        self.traces.entry(run).or_default().sent = still_sent;
     }
 
-    fn finish(&mut self, at: usize, which: usize, outcome: Outcome) {
-        if let Some((attempt, key)) = self.chosen(at, which) {
-            let now = self.clock(at);
-            let by = self.id(at, attempt);
-            let sent = self.traces.get(&by).is_some_and(|trace| trace.sent);
-            let instance = &mut self.instances[at];
-            let told = instance.claimant.finish(now, attempt, outcome, b"answer");
-            instance.won.remove(which);
-            self.check_told(key, told, Some(sent));
+    fn finish(&mut self, node: usize, index: usize, outcome: Outcome) {
+        if let Some((attempt, key)) = self.won_attempt(node, index) {
+            let now = self.clock(node);
+            let run = self.run_id(node, attempt);
+            let sent = self.traces.get(&run).is_some_and(|trace| trace.sent);
+            let instance = &mut self.instances[node];
+            let reported = instance.claimant.finish(now, attempt, outcome, b"answer");
+            instance.won.remove(index);
+            self.check_outcome(key, reported, Some(sent));
         }
     }
 
-    fn holder_gone(&mut self, at: usize, which: usize) {
-        let now = self.clock(at);
-        let instance = &mut self.instances[at];
+    fn holder_unreachable(&mut self, node: usize, index: usize) {
+        let now = self.clock(node);
+        let instance = &mut self.instances[node];
         let mut pending: Vec<Attempt> = instance.pending.keys().copied().collect();
         pending.sort();
-        if let Some(&attempt) = pending.get(which)
+        if let Some(&attempt) = pending.get(index)
             && let Some(decision) = instance.claimant.on_holder_unreachable(now, attempt)
         {
-            self.take(at, vec![AttemptDecision { attempt, decision }]);
+            self.apply_decisions(node, vec![AttemptDecision { attempt, decision }]);
         }
     }
 
-    /// "Not run" is told only while nothing had run under the key, and nothing
-    /// that was sent is told as safe to repeat.
-    fn check_told(&mut self, key: u8, outcome: Outcome, sent: Option<bool>) {
-        let half = WINDOW_MS / 2;
+    /// Checks that "not run" is reported only while nothing has run under the key,
+    /// and that a run that sent a call is never reported as safe to retry.
+    fn check_outcome(&mut self, key: u8, outcome: Outcome, sent: Option<bool>) {
+        let half_window_ms = WINDOW_MS / 2;
         let now_ms = self.now_ms;
-        let has_run = |ran: &(u8, u64)| ran.0 == key && ran.1 + half > now_ms;
+        let has_run = |ran: &(u8, u64)| ran.0 == key && ran.1 + half_window_ms > now_ms;
         if outcome == Outcome::NotRun && self.ran.iter().any(has_run) {
-            self.faults.push(format!("key {key} told not run, but ran"));
+            self.violations
+                .push(format!("key {key} reported not run, but ran"));
         }
         if sent == Some(true) && outcome != Outcome::Complete && outcome != Outcome::Unknown {
-            self.faults
-                .push(format!("key {key} sent but told {outcome}"));
+            self.violations
+                .push(format!("key {key} sent but reported {outcome}"));
         }
     }
 
-    /// Lets every append arrive and every instance read to the end.
-    pub fn calm(&mut self) {
+    /// Delivers every append and lets every instance read to the end.
+    pub fn settle(&mut self) {
         for _ in 0..100 {
-            for batch in std::mem::take(&mut self.late) {
-                self.store(Some(batch));
+            for batch in std::mem::take(&mut self.delayed) {
+                self.store_record(Some(batch));
             }
-            for at in 0..INSTANCES {
+            for node in 0..INSTANCES {
                 self.now_ms += 200;
-                self.append(at, Fate::Appended);
-                self.read(at, usize::MAX);
+                self.append(node, Fate::Appended);
+                self.read(node, usize::MAX);
             }
         }
     }
