--- a/crates/bench/src/quota_net.rs
+++ b/crates/bench/src/quota_net.rs
@@ -9,9 +9,9 @@
 use savoryvane_core::{
     ids::{Incarnation, InstanceName, WorkspaceName, ZoneName},
     limiter::Admission,
-    quota::{Claimant, Rate, UsageGrant, UsageReport, WorkspaceKey},
+    quota::{QuotaClaimant, Rate, UsageGrant, UsageReport, WorkspaceKey},
     topology::{Duty, Shard, first, lead_zone},
-    usage::{Outgoing, QuotaView, Target, Usage},
+    usage::{OutgoingReport, QuotaView, ReportTarget, Usage},
 };
 use savoryvane_wire::peer::{Message, encode};
 
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 enum Due {
     Report(usize, usize, UsageReport),
-    Grant(usize, Claimant, UsageGrant),
+    Grant(usize, QuotaClaimant, UsageGrant),
 }
 
 /// Says which messages from one instance to another get lost, by index.
@@ -179,7 +179,7 @@
         let key = self.key(workspace);
         let running = self.nodes.iter().filter(|node| node.is_running);
         running.fold(Rate::default(), |sum, node| {
-            sum.plus(node.core.rate(self.now_ms, key))
+            sum.saturating_add(node.core.rate(self.now_ms, key))
         })
     }
 
@@ -247,10 +247,10 @@
         let start = Instant::now();
         let reports = self.nodes[index].core.tick(self.now_ms);
         self.nodes[index].busy += start.elapsed();
-        for Outgoing { to, report } in reports {
+        for OutgoingReport { to, report } in reports {
             let to = match to {
-                Target::Home(name) => self.index.get(&name).copied(),
-                Target::Lead(zone) => self.home_in(report.shard, &zone),
+                ReportTarget::Home(name) => self.index.get(&name).copied(),
+                ReportTarget::Lead(zone) => self.home_in(report.shard, &zone),
             };
             if let Some(to) = to {
                 self.count_sent(index, &Message::UsageReport(report.clone()));
--- a/crates/core/src/bucket.rs
+++ b/crates/core/src/bucket.rs
@@ -22,23 +22,23 @@
 
 /// Tokens for requests, in thousand-millionths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bucket {
+pub struct TokenBucket {
     tokens: u64,
     filled_ms: u64,
 }
 
 /// Rates that a bucket goes by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Flow {
+pub struct BucketRates {
     /// Rate at which it fills.
     pub rate: Rate,
     /// Safe share of the quota, by which its depth is counted.
     pub safe: Rate,
 }
 
-impl Flow {
+impl BucketRates {
     /// Tells whether a bucket holds enough to speak of a rate.
-    pub fn is_deep(self) -> bool {
+    pub fn has_rate_capacity(self) -> bool {
         self.capacity() >= RATE_DEPTH
     }
 
@@ -50,9 +50,9 @@
     }
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Creates a full bucket.
-    pub fn new(now_ms: u64, flow: Flow) -> Self {
+    pub fn new(now_ms: u64, flow: BucketRates) -> Self {
         Self {
             tokens: flow.capacity(),
             filled_ms: now_ms,
@@ -68,7 +68,7 @@
     }
 
     /// Adds what came in since the last call.
-    pub fn fill(&mut self, now_ms: u64, flow: Flow) {
+    pub fn refill(&mut self, now_ms: u64, flow: BucketRates) {
         let elapsed_ms = now_ms.saturating_sub(self.filled_ms);
         let came = flow.rate.0.saturating_mul(elapsed_ms);
         self.tokens = self.tokens.saturating_add(came).min(flow.capacity());
@@ -77,13 +77,13 @@
 
     /// Adds what came in since the last call, to hold `most_milli` thousandths of a request
     /// at most.
-    pub fn fill_to(&mut self, now_ms: u64, flow: Flow, most_milli: u64) {
-        self.fill(now_ms, flow);
+    pub fn refill_up_to(&mut self, now_ms: u64, flow: BucketRates, most_milli: u64) {
+        self.refill(now_ms, flow);
         self.tokens = self.tokens.min(most_milli.saturating_mul(MILLI));
     }
 
     /// Takes the token of one request, if there is one.
-    pub fn take(&mut self) -> bool {
+    pub fn try_take(&mut self) -> bool {
         let is_enough = self.tokens >= ONE;
         if is_enough {
             self.tokens -= ONE;
@@ -92,12 +92,12 @@
     }
 
     /// Tells whether a deep bucket is down to its half.
-    pub fn is_low(&self, flow: Flow) -> bool {
-        flow.is_deep() && self.tokens < flow.capacity() / 2
+    pub fn is_low(&self, flow: BucketRates) -> bool {
+        flow.has_rate_capacity() && self.tokens < flow.capacity() / 2
     }
 
     /// Returns what is missing to a full bucket, in thousandths of a request.
-    pub fn missing_milli(&self, flow: Flow) -> u32 {
+    pub fn missing_milli(&self, flow: BucketRates) -> u32 {
         let missing = flow.capacity().saturating_sub(self.tokens) / MILLI;
         u32::try_from(missing).unwrap_or(u32::MAX)
     }
@@ -108,14 +108,14 @@
     }
 
     /// Takes up to so many thousandths of a request, and returns how many.
-    pub fn take_milli(&mut self, milli: u32) -> u32 {
+    pub fn take_up_to_milli(&mut self, milli: u32) -> u32 {
         let taken = u64::from(milli).min(self.tokens / MILLI);
         self.tokens -= taken * MILLI;
         taken as u32
     }
 
     /// Returns the rate that would fill the bucket within `FILL_MS`.
-    pub fn missing(&self, flow: Flow) -> Rate {
+    pub fn refill_rate(&self, flow: BucketRates) -> Rate {
         Rate(
             flow.capacity()
                 .saturating_sub(self.tokens)
@@ -124,7 +124,7 @@
     }
 
     /// Returns the time until the token of one request is there, in ms.
-    pub fn wait_ms(&self, flow: Flow) -> u64 {
+    pub fn wait_ms(&self, flow: BucketRates) -> u64 {
         let missing = ONE.saturating_sub(self.tokens);
         missing.div_ceil(flow.rate.0.max(1))
     }
--- a/crates/core/src/forwarding/grants.rs
+++ b/crates/core/src/forwarding/grants.rs
@@ -19,7 +19,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    bucket::{Bucket, Flow},
+    bucket::{BucketRates, TokenBucket},
     ids::{BackendName, InstanceName, PoolName},
     quota::Rate,
 };
@@ -120,7 +120,7 @@
 /// The share of one or several limits that an instance grants.
 #[derive(Clone, Copy, Debug)]
 struct Part {
-    flow: Flow,
+    flow: BucketRates,
     /// Largest burst, in thousandths of a request.
     depth_milli: u64,
 }
@@ -128,7 +128,7 @@
 /// Bucket of one limit.
 #[derive(Clone, Copy, Debug)]
 struct IssuedPermits {
-    bucket: Bucket,
+    bucket: TokenBucket,
     last_request_ms: u64,
 }
 
@@ -235,8 +235,10 @@
             let Some(issued) = self.issued(now_ms, server) else {
                 continue;
             };
-            issued.bucket.fill_to(now_ms, part.flow, part.depth_milli);
-            if issued.bucket.take() {
+            issued
+                .bucket
+                .refill_up_to(now_ms, part.flow, part.depth_milli);
+            if issued.bucket.try_take() {
                 return GrantState::Granted((*server).clone());
             }
             retry_in_ms = retry_in_ms.min(issued.bucket.wait_ms(part.flow));
@@ -256,12 +258,12 @@
             admission.most_urgent = (query.priority, now_ms);
         }
         let bucket = &mut admission.issued.bucket;
-        bucket.fill_to(now_ms, all.flow, all.depth_milli + ONE_MILLI);
+        bucket.refill_up_to(now_ms, all.flow, all.depth_milli + ONE_MILLI);
         if is_most_urgent {
-            return bucket.take();
+            return bucket.try_take();
         }
         let mut after = *bucket;
-        let leaves_a_place = after.take() && after.clone().take();
+        let leaves_a_place = after.try_take() && after.clone().try_take();
         if leaves_a_place {
             *bucket = after;
         }
@@ -317,7 +319,7 @@
 impl IssuedPermits {
     fn new(now_ms: u64) -> Self {
         Self {
-            bucket: Bucket::empty(now_ms),
+            bucket: TokenBucket::empty(now_ms),
             last_request_ms: now_ms,
         }
     }
@@ -349,7 +351,7 @@
         let part_per_s = limit_per_s * share;
         let spare_milli = SPARE_MILLI * share + part_per_s * SPARE_MS;
         Self {
-            flow: Flow {
+            flow: BucketRates {
                 rate: Rate((part_per_s * REQUEST_PER_S) as u64),
                 safe: Rate(0),
             },
@@ -358,7 +360,7 @@
     }
 
     fn sum(parts: impl Iterator<Item = Self>) -> Self {
-        let none = Flow {
+        let none = BucketRates {
             rate: Rate(0),
             safe: Rate(0),
         };
@@ -367,7 +369,7 @@
             depth_milli: 0,
         };
         for part in parts {
-            sum.flow.rate = sum.flow.rate.plus(part.flow.rate);
+            sum.flow.rate = sum.flow.rate.saturating_add(part.flow.rate);
             sum.depth_milli = sum.depth_milli.saturating_add(part.depth_milli);
         }
         sum
--- a/crates/core/src/limiter.rs
+++ b/crates/core/src/limiter.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use crate::{
-    bucket::{Bucket, Flow},
+    bucket::{BucketRates, TokenBucket},
     ids::WorkspaceName,
     quota::{Demand, Rate, WorkspaceKey},
     topology::Shard,
@@ -46,7 +46,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Active {
-    bucket: Bucket,
+    bucket: TokenBucket,
     came: u64,
     wanted: Rate,
 }
@@ -89,20 +89,20 @@
     }
 
     /// Decides on one request, by the rates that hold now.
-    pub fn admit(&mut self, now_ms: u64, key: WorkspaceKey, flow: Flow) -> Admission {
+    pub fn admit(&mut self, now_ms: u64, key: WorkspaceKey, flow: BucketRates) -> Admission {
         let of_shard = &mut self.active[usize::from(key.shard().0)];
         if of_shard.len() >= MAX_ACTIVE && !of_shard.contains_key(&key) {
             let retry_after_ms = LONGEST_RETRY_MS;
             return Admission::Refused { retry_after_ms };
         }
         let active = of_shard.entry(key).or_insert_with(|| Active {
-            bucket: Bucket::new(now_ms, flow),
+            bucket: TokenBucket::new(now_ms, flow),
             came: 0,
             wanted: Rate::default(),
         });
         active.came += 1;
-        active.bucket.fill(now_ms, flow);
-        let is_taken = active.bucket.take();
+        active.bucket.refill(now_ms, flow);
+        let is_taken = active.bucket.try_take();
         self.has_low |= active.bucket.is_low(flow);
         if is_taken {
             return Admission::Admitted;
@@ -124,13 +124,13 @@
         now_ms: u64,
         shard: Shard,
         elapsed_ms: u64,
-        flow_of: impl Fn(WorkspaceKey, Rate) -> Flow,
+        flow_of: impl Fn(WorkspaceKey, Rate) -> BucketRates,
     ) -> Vec<Demand> {
         let rates = &self.rates;
         let mut demands = Vec::new();
         self.active[usize::from(shard.0)].retain(|key, active| {
             let flow = flow_of(*key, rates.get(key).copied().unwrap_or_default());
-            active.bucket.fill(now_ms, flow);
+            active.bucket.refill(now_ms, flow);
             let missing = active.bucket.missing_milli(flow);
             let came = std::mem::take(&mut active.came);
             if came == 0 && missing == 0 {
@@ -159,17 +159,17 @@
     fn demand(
         &mut self,
         key: WorkspaceKey,
-        flow: Flow,
+        flow: BucketRates,
         came: u64,
         missing: u32,
         elapsed_ms: u64,
     ) -> Demand {
         let came = came * 1_000_000 * 1_000 / elapsed_ms.max(1);
-        self.wanted = Rate(came * HEADROOM_PERCENT / 100).max(self.wanted.part(1, 2));
-        let is_rate = flow.is_deep() || self.wanted >= LEAST_RATE.part(2, 1);
+        self.wanted = Rate(came * HEADROOM_PERCENT / 100).max(self.wanted.fraction(1, 2));
+        let is_rate = flow.has_rate_capacity() || self.wanted >= LEAST_RATE.fraction(2, 1);
         let held = flow.rate;
         if is_rate {
-            let wanted = self.wanted.max(self.bucket.missing(flow));
+            let wanted = self.wanted.max(self.bucket.refill_rate(flow));
             let missing = 0;
             return Demand {
                 key,
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -23,49 +23,49 @@
 
     /// Returns `part` of `whole` equal parts, rounded down.
     #[must_use]
-    pub fn part(self, part: u32, whole: u32) -> Self {
+    pub fn fraction(self, part: u32, whole: u32) -> Self {
         let product = u128::from(self.0) * u128::from(part);
         Self((product / u128::from(whole.max(1))) as u64)
     }
 
     /// Returns what is left after taking `other`, or none.
     #[must_use]
-    pub fn less(self, other: Self) -> Self {
+    pub fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
 
     /// Returns the sum, at most the highest rate there is.
     #[must_use]
-    pub fn plus(self, other: Self) -> Self {
+    pub fn saturating_add(self, other: Self) -> Self {
         Self(self.0.saturating_add(other.0))
     }
 }
 
 /// Time for which a grant may be used, counted from the report that it answers,
 /// in ms. A home counts what its claimants hold for as long after the last report.
-pub const GRANT_MS: u64 = 3_000;
+pub const GRANT_VALIDITY_MS: u64 = 3_000;
 /// Time after the last grant for which a claimant keeps to the lower of what it
 /// was granted and its safe share, in ms. It is long enough for a home to take
 /// back what it had lent of that share: by a zone's home to the lead it is
-/// noticed after twice [`GRANT_MS`], since the zone's instances hold on for one,
+/// noticed after twice [`GRANT_VALIDITY_MS`], since the zone's instances hold on for one,
 /// and what others were granted meanwhile lapses after another two.
-pub const HOLD_MS: u64 = 4 * GRANT_MS;
+pub const GRANT_HOLD_MS: u64 = 4 * GRANT_VALIDITY_MS;
 /// Part of its safe share that a claimant always keeps.
 const FLOOR_PARTS: u32 = 10;
 
 /// Least floor of a zone. Lending what is less would cost more messages than it
 /// is worth: most workspaces of a large deployment are that small.
-pub const LEAST_ZONE_FLOOR: Rate = Rate(1_000_000);
+pub const MIN_ZONE_FLOOR: Rate = Rate(1_000_000);
 
 /// A claimant's part of a quota, as instances of all instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct ClaimantSize {
     /// Instances of the claimant.
     pub members: u32,
     /// Those of them that its home does not hear, which go by their safe share.
-    pub cut: u32,
+    pub unreachable_members: u32,
     /// Instances of the whole deployment.
-    pub whole: u32,
+    pub total_members: u32,
     /// What the claimant is.
     pub level: Level,
 }
@@ -79,20 +79,25 @@
     Zone,
 }
 
-impl Part {
+impl ClaimantSize {
     /// Returns the safe share of `quota`, which needs no word from anyone.
     pub fn safe_share(self, quota: Rate) -> Rate {
-        quota.part(self.members, self.whole)
+        quota.fraction(self.members, self.total_members)
     }
 
     /// Returns what the claimant keeps even of a quota that it does not use.
     pub fn floor(self, quota: Rate) -> Rate {
-        let heard = self.members.saturating_sub(self.cut);
-        let floor = quota.part(heard, self.whole).part(1, FLOOR_PARTS);
-        let floor = floor.plus(quota.part(self.cut.min(self.members), self.whole));
+        let heard = self.members.saturating_sub(self.unreachable_members);
+        let floor = quota
+            .fraction(heard, self.total_members)
+            .fraction(1, FLOOR_PARTS);
+        let floor = floor.saturating_add(quota.fraction(
+            self.unreachable_members.min(self.members),
+            self.total_members,
+        ));
         match self.level {
             Level::Instance => floor,
-            Level::Zone => floor.max(self.safe_share(quota).min(LEAST_ZONE_FLOOR)),
+            Level::Zone => floor.max(self.safe_share(quota).min(MIN_ZONE_FLOOR)),
         }
     }
 }
@@ -130,7 +135,7 @@
 
 /// Who asks for a part of a shard's quotas.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Claimant {
+pub enum QuotaClaimant {
     /// The sending instance, of its zone's home.
     Instance,
     /// The home of a zone, of the lead zone's home.
@@ -144,7 +149,7 @@
     /// Shard.
     pub shard: Shard,
     /// Who asks.
-    pub claimant: Claimant,
+    pub claimant: QuotaClaimant,
     /// Sender's clock, which the answer returns.
     pub stamp_ms: u64,
     /// Instances of a claiming zone that its home does not hear.
--- a/crates/core/src/split.rs
+++ b/crates/core/src/quota_allocator.rs
@@ -12,8 +12,8 @@
 };
 
 use crate::{
-    bucket::{Bucket, Flow},
-    quota::{Demand, Grant, Level, Part, Rate, WorkspaceKey},
+    bucket::{BucketRates, TokenBucket},
+    quota::{ClaimantSize, Demand, Grant, Level, Rate, WorkspaceKey},
 };
 
 /// Part of what nobody wants that is granted on top; the rest is left for new
@@ -25,7 +25,7 @@
 
 /// Claimants of a shard's quotas and what they want.
 #[derive(Clone, Debug)]
-pub struct Split<C> {
+pub struct QuotaAllocator<C> {
     since_ms: u64,
     lapse_ms: u64,
     level: Level,
@@ -39,7 +39,7 @@
 /// What is held by nobody, saved up to make up for single requests.
 #[derive(Clone, Copy, Debug)]
 struct Reserve {
-    bucket: Bucket,
+    bucket: TokenBucket,
     rate: Rate,
     /// Requests asked for since the last look, in thousandths.
     asked_milli: u64,
@@ -73,14 +73,14 @@
 
 /// What is to be divided for one workspace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Divided {
+pub struct AllocatableQuota {
     /// Quota over the whole deployment, by which safe shares are counted.
     pub quota: Rate,
     /// Part of it that this home may divide.
     pub total: Rate,
 }
 
-impl<C: Clone + Ord + Hash> Split<C> {
+impl<C: Clone + Ord + Hash> QuotaAllocator<C> {
     /// Begins to divide. What an earlier home granted is not known, so nobody gets
     /// more than it holds until all have said what that is, or it has lapsed. A claimant that was not heard of for `lapse_ms` counts
     /// with its safe share.
@@ -149,7 +149,7 @@
         from: &C,
         cut: u32,
         demands: &[Demand],
-        divided: impl Fn(WorkspaceKey) -> Divided,
+        divided: impl Fn(WorkspaceKey) -> AllocatableQuota,
     ) -> Vec<Grant> {
         let claimant = self.claimants.entry(from.clone()).or_default();
         claimant.heard_ms = Some(now_ms);
@@ -176,20 +176,20 @@
     fn forget_full(&mut self, now_ms: u64) {
         self.reserves.retain(|_, reserve| {
             let flow = reserve.flow();
-            reserve.bucket.fill(now_ms, flow);
+            reserve.bucket.refill(now_ms, flow);
             reserve.bucket.missing_milli(flow) > 0 || reserve.asked_milli > 0
         });
     }
 
     /// Makes up for single requests out of what nobody holds.
-    fn make_up(&mut self, now_ms: u64, demand: &Demand, divided: Divided) -> u32 {
+    fn make_up(&mut self, now_ms: u64, demand: &Demand, divided: AllocatableQuota) -> u32 {
         if demand.missing == 0 || now_ms < self.since_ms + self.lapse_ms {
             return 0;
         }
-        let Divided { quota, total } = divided;
-        let rate = total.less(self.held(now_ms, demand.key, quota, None));
+        let AllocatableQuota { quota, total } = divided;
+        let rate = total.saturating_sub(self.held(now_ms, demand.key, quota, None));
         let reserve = self.reserves.entry(demand.key).or_insert_with(|| Reserve {
-            bucket: Bucket::new(now_ms, Flow { rate, safe: rate }),
+            bucket: TokenBucket::new(now_ms, BucketRates { rate, safe: rate }),
             rate,
             asked_milli: 0,
             wanted: Rate::default(),
@@ -197,9 +197,9 @@
         reserve.asked_milli += u64::from(demand.missing);
         // It may have been less at any time since it was filled last.
         reserve.rate = reserve.rate.min(rate);
-        reserve.bucket.fill(now_ms, reserve.flow());
+        reserve.bucket.refill(now_ms, reserve.flow());
         reserve.rate = rate;
-        reserve.bucket.take_milli(demand.missing)
+        reserve.bucket.take_up_to_milli(demand.missing)
     }
 
     /// Returns the workspaces that anyone wants, each with what is wanted and what
@@ -210,12 +210,12 @@
         for (key, wants) in &self.wants {
             let sum = wants
                 .iter()
-                .fold(Rate::default(), |sum, w| sum.plus(w.wanted));
+                .fold(Rate::default(), |sum, w| sum.saturating_add(w.wanted));
             wanted.insert(*key, sum);
         }
         for (key, reserve) in &mut self.reserves {
             let entry = wanted.entry(*key).or_default();
-            *entry = entry.plus(reserve.take_wanted());
+            *entry = entry.saturating_add(reserve.take_wanted());
         }
         let demand = |(key, wanted)| Demand {
             key,
@@ -226,8 +226,8 @@
         wanted.into_iter().map(demand).collect()
     }
 
-    fn grant(&mut self, now_ms: u64, from: &C, demand: &Demand, divided: Divided) -> Rate {
-        let Divided { quota, total } = divided;
+    fn grant(&mut self, now_ms: u64, from: &C, demand: &Demand, divided: AllocatableQuota) -> Rate {
+        let AllocatableQuota { quota, total } = divided;
         let part = self.part(from);
         let floor = part.floor(quota);
         if demand.wanted == Rate::default() && demand.held <= floor {
@@ -243,7 +243,7 @@
         if !self.is_known(now_ms) {
             rate = rate.min(demand.held);
         }
-        let rate = rate.min(total.less(others)).max(floor);
+        let rate = rate.min(total.saturating_sub(others)).max(floor);
         let wants = self.wants.entry(demand.key).or_default();
         if let Some(want) = wants.last_mut() {
             want.held = demand.held.max(rate);
@@ -251,7 +251,7 @@
         rate
     }
 
-    fn part(&self, claimant: &C) -> Part {
+    fn part(&self, claimant: &C) -> ClaimantSize {
         let known = self.claimants.get(claimant);
         self.part_of(known.unwrap_or(&Claimant::default()))
     }
@@ -272,10 +272,10 @@
             };
             if self.is_heard(now_ms, claimant) {
                 let floor = self.part(&want.claimant).floor(quota);
-                sum = sum.plus(want.held.less(floor));
+                sum = sum.saturating_add(want.held.saturating_sub(floor));
             }
         }
-        sum.plus(self.held_earlier(now_ms, key, quota, except))
+        sum.saturating_add(self.held_earlier(now_ms, key, quota, except))
     }
 
     /// Returns how many instances were not heard of lately.
@@ -294,7 +294,7 @@
                 continue;
             }
             let part = self.part_of(claimant);
-            sum = sum.plus(match self.is_heard(now_ms, claimant) {
+            sum = sum.saturating_add(match self.is_heard(now_ms, claimant) {
                 true => part.floor(quota),
                 false => part.safe_share(quota),
             });
@@ -302,11 +302,11 @@
         sum
     }
 
-    fn part_of(&self, claimant: &Claimant) -> Part {
-        Part {
+    fn part_of(&self, claimant: &Claimant) -> ClaimantSize {
+        ClaimantSize {
             members: claimant.members,
-            cut: claimant.cut,
-            whole: self.whole,
+            unreachable_members: claimant.cut,
+            total_members: self.whole,
             level: self.level,
         }
     }
@@ -314,9 +314,9 @@
     /// Returns the fair rate of one claimant: its floor and a part of what the
     /// floors leave. Each gets what it wants while there is enough, and a little
     /// more; otherwise equal parts up to what it wants.
-    fn fair(&self, now_ms: u64, from: &C, key: WorkspaceKey, divided: Divided) -> Rate {
-        let Divided { quota, total } = divided;
-        let pool = total.less(self.floors(now_ms, quota, None));
+    fn fair(&self, now_ms: u64, from: &C, key: WorkspaceKey, divided: AllocatableQuota) -> Rate {
+        let AllocatableQuota { quota, total } = divided;
+        let pool = total.saturating_sub(self.floors(now_ms, quota, None));
         let mut extras: Vec<(u64, u32)> = Vec::new();
         let mut mine = (0, 1);
         for want in self.wants.get(&key).map_or(&[][..], Vec::as_slice) {
@@ -326,14 +326,14 @@
             }
             let part = self.part(&want.claimant);
             let weight = part.members.max(1);
-            let extra = want.wanted.less(part.floor(quota)).0;
+            let extra = want.wanted.saturating_sub(part.floor(quota)).0;
             extras.push((extra, weight));
             if want.claimant == *from {
                 mine = (extra, weight);
             }
         }
         let floor = self.part(from).floor(quota);
-        floor.plus(Rate(fill(pool.0, &mut extras, mine)))
+        floor.saturating_add(Rate(fill(pool.0, &mut extras, mine)))
     }
 
     /// Goes on counting what a claimant held before it turned to this home anew:
@@ -373,7 +373,7 @@
         others.fold(Rate::default(), |sum, earlier| {
             let want = wants.iter().find(|want| want.claimant == earlier.claimant);
             let counted = want.map_or(self.part(&earlier.claimant).floor(quota), |want| want.held);
-            sum.plus(earlier.held.less(counted))
+            sum.saturating_add(earlier.held.saturating_sub(counted))
         })
     }
 
@@ -393,12 +393,14 @@
     /// Returns the rate that is asked for, over the second since the last look.
     fn take_wanted(&mut self) -> Rate {
         let asked = Rate(std::mem::take(&mut self.asked_milli) * 1_000);
-        self.wanted = asked.plus(asked.part(1, 4)).max(self.wanted.part(1, 2));
+        self.wanted = asked
+            .saturating_add(asked.fraction(1, 4))
+            .max(self.wanted.fraction(1, 2));
         self.wanted
     }
 
-    fn flow(&self) -> Flow {
-        Flow {
+    fn flow(&self) -> BucketRates {
+        BucketRates {
             rate: self.rate,
             safe: self.rate,
         }
--- a/crates/core/src/share.rs
+++ b/crates/core/src/share.rs
@@ -3,11 +3,13 @@
 //!
 //! With a grant that is valid a workspace has the rate that was granted, or the
 //! floor when it was not asked for. When grants stop coming it has the lower of
-//! that and its safe share, and [`HOLD_MS`] after the last grant its safe share.
+//! that and its safe share, and [`GRANT_HOLD_MS`] after the last grant its safe share.
 
 use std::collections::HashMap;
 
-use crate::quota::{Demand, GRANT_MS, HOLD_MS, Part, Rate, UsageGrant, WorkspaceKey};
+use crate::quota::{
+    ClaimantSize, Demand, GRANT_HOLD_MS, GRANT_VALIDITY_MS, Rate, UsageGrant, WorkspaceKey,
+};
 
 /// What a claimant was granted for the workspaces of one shard.
 #[derive(Clone, Debug, Default)]
@@ -44,17 +46,19 @@
     }
 
     /// Returns the rate that may be used for a workspace with `quota`.
-    pub fn rate(&self, now_ms: u64, key: WorkspaceKey, quota: Rate, part: Part) -> Rate {
+    pub fn rate(&self, now_ms: u64, key: WorkspaceKey, quota: Rate, part: ClaimantSize) -> Rate {
         let safe = part.safe_share(quota);
         let Some(last) = self.last else {
-            let is_new = self.started_ms.is_some_and(|at| now_ms < at + HOLD_MS);
+            let is_new = self
+                .started_ms
+                .is_some_and(|at| now_ms < at + GRANT_HOLD_MS);
             return if is_new { part.floor(quota) } else { safe };
         };
         let granted = self.granted.get(&key).copied();
         let granted = granted.unwrap_or(part.floor(quota));
-        let rate = if now_ms < last.stamp_ms + GRANT_MS {
+        let rate = if now_ms < last.stamp_ms + GRANT_VALIDITY_MS {
             granted
-        } else if now_ms < last.received_ms + HOLD_MS {
+        } else if now_ms < last.received_ms + GRANT_HOLD_MS {
             granted.min(safe)
         } else {
             safe
@@ -83,7 +87,7 @@
     /// Tells whether the last grant is valid.
     pub fn is_granted(&self, now_ms: u64) -> bool {
         self.last
-            .is_some_and(|last| now_ms < last.stamp_ms + GRANT_MS)
+            .is_some_and(|last| now_ms < last.stamp_ms + GRANT_VALIDITY_MS)
     }
 
     /// Takes note of a report made now; what it does not name falls to the floor.
@@ -126,7 +130,7 @@
         let Some(last) = self.last.filter(|_| !is_first) else {
             return;
         };
-        let until_ms = last.received_ms + HOLD_MS;
+        let until_ms = last.received_ms + GRANT_HOLD_MS;
         let still_held = self.earlier.take().filter(|e| now_ms < e.until_ms);
         let mut granted = std::mem::take(&mut self.granted);
         if let Some(earlier) = still_held {
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -3,20 +3,23 @@
 //! Each instance reports the demand for its active workspaces to the home of
 //! their shard in its zone every [`REPORT_MS`], and the home of a shard reports
 //! the zone's demand to the home in the shard's lead zone. Answers are grants
-//! that lapse. See [`share`](crate::share) and [`split`](crate::split) for what
+//! that lapse. See [`share`](crate::share) and [`quota_allocator`](crate::quota_allocator) for what
 //! a claimant may use and what a home may grant.
 
 mod exchange;
 mod home;
 
-pub use self::exchange::{NotHome, Outgoing, QuotaView, Target};
+pub use self::exchange::{NotHome, OutgoingReport, QuotaView, ReportTarget};
 use self::home::{HomeUsage, LeadUsage};
 use crate::{
-    bucket::Flow,
+    bucket::BucketRates,
     ids::{Incarnation, InstanceName, WorkspaceName, ZoneName},
     limiter::{Admission, Limiter},
     pace::{Pace, REPORT_MS},
-    quota::{Claimant, LEAST_ZONE_FLOOR, Level, Part, Rate, UsageGrant, UsageReport, WorkspaceKey},
+    quota::{
+        ClaimantSize, Level, MIN_ZONE_FLOOR, QuotaClaimant, Rate, UsageGrant, UsageReport,
+        WorkspaceKey,
+    },
     share::Share,
     topology::{SHARDS, Shard},
 };
@@ -85,7 +88,7 @@
         let Some(key) = self.limiter.key(workspace) else {
             return Admission::Unknown;
         };
-        let flow = Flow {
+        let flow = BucketRates {
             rate: self.rate(now_ms, key),
             safe: self.own_part().safe_share(self.limiter.quota(key)),
         };
@@ -125,7 +128,7 @@
 
     /// Returns the reports that are due. Shards take turns within
     /// [`REPORT_MS`].
-    pub fn tick(&mut self, now_ms: u64) -> Vec<Outgoing> {
+    pub fn tick(&mut self, now_ms: u64) -> Vec<OutgoingReport> {
         let mut outgoing = Vec::new();
         for index in 0..self.shards.len() {
             let home = self.shards[index].home.as_mut();
@@ -159,8 +162,8 @@
         };
         let quota = |key| self.limiter.quota(key);
         let answer = match &report.claimant {
-            Claimant::Instance => home.answer_instance(now_ms, from, report, part, quota),
-            Claimant::Zone(zone) => {
+            QuotaClaimant::Instance => home.answer_instance(now_ms, from, report, part, quota),
+            QuotaClaimant::Zone(zone) => {
                 let lead = home.lead.as_mut().ok_or_else(not_home)?;
                 lead.answer_zone(now_ms, zone, report, quota)
             }
@@ -176,17 +179,17 @@
     }
 
     /// Takes the answer to a report of `claimant`.
-    pub fn on_grant(&mut self, now_ms: u64, claimant: &Claimant, grant: &UsageGrant) {
+    pub fn on_grant(&mut self, now_ms: u64, claimant: &QuotaClaimant, grant: &UsageGrant) {
         let shard = &mut self.shards[usize::from(grant.shard.0 % SHARDS)];
         match claimant {
-            Claimant::Instance => {
+            QuotaClaimant::Instance => {
                 if shard.share.on_grant(now_ms, grant) {
                     for grant in grant.grants.iter().filter(|grant| grant.made_up > 0) {
                         self.limiter.make_up(grant.key, grant.made_up);
                     }
                 }
             }
-            Claimant::Zone(_) => {
+            QuotaClaimant::Zone(_) => {
                 if let Some(home) = &mut shard.home {
                     home.zone.on_grant(now_ms, grant);
                 }
@@ -194,20 +197,20 @@
         }
     }
 
-    fn own_part(&self) -> Part {
-        Part {
+    fn own_part(&self) -> ClaimantSize {
+        ClaimantSize {
             members: 1,
-            cut: 0,
-            whole: self.whole,
+            unreachable_members: 0,
+            total_members: self.whole,
             level: Level::Instance,
         }
     }
 
-    fn own_zone_part(&self, cut: u32) -> Part {
-        Part {
+    fn own_zone_part(&self, cut: u32) -> ClaimantSize {
+        ClaimantSize {
             members: self.view.zones.get(&self.zone).copied().unwrap_or(1),
-            cut,
-            whole: self.whole,
+            unreachable_members: cut,
+            total_members: self.whole,
             level: Level::Zone,
         }
     }
@@ -248,11 +251,17 @@
         self.incarnation.0.rotate_left(17) ^ self.terms
     }
 
-    fn report(&mut self, now_ms: u64, index: usize, elapsed_ms: u64, outgoing: &mut Vec<Outgoing>) {
+    fn report(
+        &mut self,
+        now_ms: u64,
+        index: usize,
+        elapsed_ms: u64,
+        outgoing: &mut Vec<OutgoingReport>,
+    ) {
         let part = self.own_part();
         let shard = &mut self.shards[index];
         let share = &shard.share;
-        let flow_of = |key, quota| Flow {
+        let flow_of = |key, quota| BucketRates {
             rate: share.rate(now_ms, key, quota, part),
             safe: part.safe_share(quota),
         };
@@ -262,7 +271,7 @@
         shard.share.on_report(now_ms, &demands);
         let report = UsageReport {
             shard: shard.shard,
-            claimant: Claimant::Instance,
+            claimant: QuotaClaimant::Instance,
             stamp_ms: now_ms,
             cut: 0,
             demands,
@@ -270,16 +279,16 @@
         };
         let me = self.me.clone();
         match self.on_report(now_ms, &me, &report) {
-            Ok(grant) => self.on_grant(now_ms, &Claimant::Instance, &grant),
-            Err(NotHome(home)) => outgoing.push(Outgoing {
-                to: Target::Home(home),
+            Ok(grant) => self.on_grant(now_ms, &QuotaClaimant::Instance, &grant),
+            Err(NotHome(home)) => outgoing.push(OutgoingReport {
+                to: ReportTarget::Home(home),
                 report,
             }),
         }
     }
 
     /// As the home of a shard, reports the zone's demand to the lead.
-    fn report_zone(&mut self, now_ms: u64, index: usize, outgoing: &mut Vec<Outgoing>) {
+    fn report_zone(&mut self, now_ms: u64, index: usize, outgoing: &mut Vec<OutgoingReport>) {
         let Some(lead) = self.view.leads.get(index).cloned() else {
             return;
         };
@@ -291,13 +300,13 @@
         let quota = |key| self.limiter.quota(key);
         let mut demands = home.instances.demands(now_ms, quota);
         // The floor of a zone is all that it may have of a small quota.
-        demands.retain(|demand| part.safe_share(quota(demand.key)) > LEAST_ZONE_FLOOR);
+        demands.retain(|demand| part.safe_share(quota(demand.key)) > MIN_ZONE_FLOOR);
         for demand in &mut demands {
             let allowed = home.zone.rate(now_ms, demand.key, quota(demand.key), part);
             demand.held = demand.held.max(allowed);
         }
         home.zone.on_report(now_ms, &demands);
-        let claimant = Claimant::Zone(self.zone.clone());
+        let claimant = QuotaClaimant::Zone(self.zone.clone());
         let report = UsageReport {
             shard: Shard(index as u8),
             claimant: claimant.clone(),
@@ -309,8 +318,8 @@
         let me = self.me.clone();
         match self.on_report(now_ms, &me, &report) {
             Ok(grant) => self.on_grant(now_ms, &claimant, &grant),
-            Err(_) => outgoing.push(Outgoing {
-                to: Target::Lead(lead),
+            Err(_) => outgoing.push(OutgoingReport {
+                to: ReportTarget::Lead(lead),
                 report,
             }),
         }
--- a/crates/core/src/usage/exchange.rs
+++ b/crates/core/src/usage/exchange.rs
@@ -22,7 +22,7 @@
 
 /// Whom a report goes to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Target {
+pub enum ReportTarget {
     /// An instance of this zone.
     Home(InstanceName),
     /// The shard's home in another zone.
@@ -32,9 +32,9 @@
 /// A report to send as a request; its answer goes to
 /// [`Usage::on_grant`](crate::usage::Usage::on_grant).
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Outgoing {
+pub struct OutgoingReport {
     /// Whom it goes to.
-    pub to: Target,
+    pub to: ReportTarget,
     /// The report.
     pub report: UsageReport,
 }
--- a/crates/core/src/usage/home.rs
+++ b/crates/core/src/usage/home.rs
@@ -3,16 +3,18 @@
 use crate::{
     ids::{InstanceName, ZoneName},
     pace::Pace,
-    quota::{Demand, GRANT_MS, Grant, Level, Part, Rate, UsageReport, WorkspaceKey},
+    quota::{
+        ClaimantSize, Demand, GRANT_VALIDITY_MS, Grant, Level, Rate, UsageReport, WorkspaceKey,
+    },
+    quota_allocator::{AllocatableQuota, QuotaAllocator},
     share::Share,
-    split::{Divided, Split},
 };
 
 /// Time after which a zone's home counts an instance with its safe share, in ms.
-const INSTANCE_LAPSE_MS: u64 = GRANT_MS;
+const INSTANCE_LAPSE_MS: u64 = GRANT_VALIDITY_MS;
 /// Time after which the lead counts a zone with its safe share, in ms; what the
-/// zone's home granted holds on for [`GRANT_MS`] after its own grant.
-const ZONE_LAPSE_MS: u64 = 2 * GRANT_MS;
+/// zone's home granted holds on for [`GRANT_VALIDITY_MS`] after its own grant.
+const ZONE_LAPSE_MS: u64 = 2 * GRANT_VALIDITY_MS;
 
 /// Quotas of one shard as its home in this zone divides them.
 #[derive(Debug)]
@@ -22,7 +24,7 @@
     /// Pace of the zone's reports to the lead.
     pub(super) pace: Pace,
     /// What the instances of the zone want and hold.
-    pub(super) instances: Split<InstanceName>,
+    pub(super) instances: QuotaAllocator<InstanceName>,
     /// What the lead granted to the zone.
     pub(super) zone: Share,
     /// What it divides among zones, when this is the lead zone.
@@ -35,7 +37,7 @@
     /// Time as home, told from earlier ones.
     pub(super) term: u64,
     /// What the zones want and hold.
-    pub(super) zones: Split<ZoneName>,
+    pub(super) zones: QuotaAllocator<ZoneName>,
 }
 
 /// What a home answers to one report.
@@ -57,7 +59,7 @@
         Self {
             term,
             pace: Pace::new(now_ms, now_ms),
-            instances: Split::new(now_ms, INSTANCE_LAPSE_MS, Level::Instance),
+            instances: QuotaAllocator::new(now_ms, INSTANCE_LAPSE_MS, Level::Instance),
             zone: Share::default(),
             lead: None,
         }
@@ -70,14 +72,14 @@
         now_ms: u64,
         from: &InstanceName,
         report: &UsageReport,
-        part: Part,
+        part: ClaimantSize,
         quota: impl Fn(WorkspaceKey) -> Rate,
     ) -> Answer {
         if report.term != Some(self.term) {
             self.instances.on_join(now_ms, from);
         }
         let zone = &self.zone;
-        let divided = |key| Divided {
+        let divided = |key| AllocatableQuota {
             quota: quota(key),
             total: zone.rate(now_ms, key, quota(key), part),
         };
@@ -102,7 +104,7 @@
     pub(super) fn new(now_ms: u64, term: u64) -> Self {
         Self {
             term,
-            zones: Split::new(now_ms, ZONE_LAPSE_MS, Level::Zone),
+            zones: QuotaAllocator::new(now_ms, ZONE_LAPSE_MS, Level::Zone),
         }
     }
 
@@ -117,7 +119,7 @@
         if report.term != Some(self.term) {
             self.zones.on_join(now_ms, zone);
         }
-        let divided = |key| Divided {
+        let divided = |key| AllocatableQuota {
             quota: quota(key),
             total: quota(key),
         };
--- a/crates/core/tests/members_usage.rs
+++ b/crates/core/tests/members_usage.rs
@@ -4,7 +4,7 @@
 
 use savoryvane_bench::quota_net::QuotaNet;
 use savoryvane_core::{
-    quota::{Demand, Grant, HOLD_MS, Level, Part, Rate, UsageGrant, WorkspaceKey},
+    quota::{ClaimantSize, Demand, GRANT_HOLD_MS, Grant, Level, Rate, UsageGrant, WorkspaceKey},
     share::Share,
 };
 
@@ -43,7 +43,10 @@
         drive(&mut net, SETTLE_STEPS, &[], 0, quota(90));
         drive(&mut net, 50, &[4], 20, quota(90));
         let rate = net.nodes[4].core.rate(net.now_ms, net.key(0));
-        assert!(rate >= quota(90).part(part, 100), "{zones} zones: {rate:?}");
+        assert!(
+            rate >= quota(90).fraction(part, 100),
+            "{zones} zones: {rate:?}"
+        );
     }
 }
 
@@ -56,7 +59,10 @@
         .iter()
         .map(|i| net.nodes[*i].core.rate(net.now_ms, net.key(0)))
         .collect();
-    assert!(net.sum_of_rates(0) >= quota(90).part(95, 100), "{rates:?}");
+    assert!(
+        net.sum_of_rates(0) >= quota(90).fraction(95, 100),
+        "{rates:?}"
+    );
     let (low, high) = (rates.iter().min(), rates.iter().max());
     assert!(high.unwrap().0 <= low.unwrap().0 * 11 / 10, "{rates:?}");
 }
@@ -67,7 +73,7 @@
     drive(&mut net, 60, &[0], 20, quota(90));
     drive(&mut net, 60, &[5], 20, quota(90));
     let rate = net.nodes[5].core.rate(net.now_ms, net.key(0));
-    assert!(rate >= quota(90).part(80, 100), "{rate:?}");
+    assert!(rate >= quota(90).fraction(80, 100), "{rate:?}");
 }
 
 #[test]
@@ -100,10 +106,10 @@
 fn a_grant_that_answers_an_older_report_is_dropped() {
     let mut share = Share::default();
     let key = WorkspaceKey(1);
-    let part = Part {
+    let part = ClaimantSize {
         members: 1,
-        cut: 0,
-        whole: 10,
+        unreachable_members: 0,
+        total_members: 10,
         level: Level::Instance,
     };
     let grant = |stamp_ms, per_s| UsageGrant {
@@ -137,17 +143,17 @@
     let is_far = |i: usize| i.is_multiple_of(3);
     drive(&mut net, 100, &[1], 20, quota(90));
     net.set_cut(move |a, b| is_far(a) != is_far(b));
-    let steps = (2 * HOLD_MS / 100) as usize;
+    let steps = (2 * GRANT_HOLD_MS / 100) as usize;
     drive(&mut net, steps, &[0, 1], 20, quota(90));
     for index in [0, 1] {
         let rate = net.nodes[index].core.rate(net.now_ms, net.key(0));
-        assert!(rate >= quota(30).part(75, 100), "{index}: {rate:?}");
+        assert!(rate >= quota(30).fraction(75, 100), "{index}: {rate:?}");
     }
     net.set_cut(|_, _| false);
     drive(&mut net, 40, &[1], 20, quota(90));
     let rate = net.nodes[1].core.rate(net.now_ms, net.key(0));
     assert!(
-        rate >= quota(90).part(80, 100),
+        rate >= quota(90).fraction(80, 100),
         "4 s after the cut: {rate:?}"
     );
 }
@@ -169,14 +175,14 @@
         });
         drive(
             &mut net,
-            (2 * HOLD_MS / 100) as usize,
+            (2 * GRANT_HOLD_MS / 100) as usize,
             &[home, alone],
             20,
             quota(90),
         );
         let rate = net.nodes[alone].core.rate(net.now_ms, net.key(0));
-        assert!(rate >= quota(10).part(99, 100), "{rate:?}");
-        assert!(net.nodes[alone].core.age_ms(net.now_ms).unwrap() >= 2 * HOLD_MS - 2_000);
+        assert!(rate >= quota(10).fraction(99, 100), "{rate:?}");
+        assert!(net.nodes[alone].core.age_ms(net.now_ms).unwrap() >= 2 * GRANT_HOLD_MS - 2_000);
         net.set_cut(|_, _| false);
         drive(&mut net, 50, &[home], 20, quota(90));
     }
@@ -193,7 +199,7 @@
         net.set_cut(move |a, b| a == alone || b == alone);
         drive(
             &mut net,
-            (2 * HOLD_MS / 100) as usize,
+            (2 * GRANT_HOLD_MS / 100) as usize,
             &[busy],
             20,
             quota(90),
@@ -219,7 +225,7 @@
         drive(&mut net, 200, &others, 20, quota(90));
         drive(&mut net, 60, &[busy], 20, quota(90));
         let rate = net.nodes[busy].core.rate(net.now_ms, net.key(0));
-        assert!(rate >= quota(90).part(70, 100), "zone {zone}: {rate:?}");
+        assert!(rate >= quota(90).fraction(70, 100), "zone {zone}: {rate:?}");
     }
 }
 
@@ -273,13 +279,13 @@
     }
     drive(
         &mut net,
-        2 * (HOLD_MS / 100) as usize,
+        2 * (GRANT_HOLD_MS / 100) as usize,
         &[busy],
         20,
         quota(90),
     );
     let rate = net.nodes[busy].core.rate(net.now_ms, net.key(0));
-    assert!(rate >= quota(30).part(75, 100), "{rate:?}");
+    assert!(rate >= quota(30).fraction(75, 100), "{rate:?}");
 }
 
 #[test]
--- a/crates/server/examples/peer_bytes.rs
+++ b/crates/server/examples/peer_bytes.rs
@@ -14,7 +14,7 @@
     digest::Leaver,
     ids::{Incarnation, InstanceName},
     membership::Contact,
-    quota::{Claimant, UsageGrant, UsageReport},
+    quota::{QuotaClaimant, UsageGrant, UsageReport},
     topology::Shard,
 };
 use savoryvane_server::peer::{PeerAnswer, PeerHandle, PeerHandler, PeerId, PeerServer};
@@ -45,7 +45,7 @@
 fn report() -> Message {
     Message::UsageReport(UsageReport {
         shard: Shard(1),
-        claimant: Claimant::Instance,
+        claimant: QuotaClaimant::Instance,
         stamp_ms: 1_000_000,
         cut: 0,
         demands: Vec::new(),
--- a/crates/server/src/sharing.rs
+++ b/crates/server/src/sharing.rs
@@ -8,9 +8,9 @@
 use savoryvane_core::{
     ids::{InstanceName, Offset, WorkspaceName, ZoneName},
     limiter::Admission,
-    quota::{Claimant, UsageReport},
+    quota::{QuotaClaimant, UsageReport},
     topology::{Duty, Shard, ranked},
-    usage::{NotHome, Outgoing, Target, Usage},
+    usage::{NotHome, OutgoingReport, ReportTarget, Usage},
 };
 use savoryvane_wire::peer::{Declined, Message};
 use slog::debug;
@@ -112,7 +112,7 @@
 /// knows of this one no more than the platform's list says.
 fn is_relayed(shared: &Shared, from: &InstanceName, report: &UsageReport) -> bool {
     let is_own_zone = || shared.members.membership().is_in_zone(from);
-    matches!(report.claimant, Claimant::Zone(_)) && !is_own_zone()
+    matches!(report.claimant, QuotaClaimant::Zone(_)) && !is_own_zone()
 }
 
 async fn relay(shared: &Shared, home: &InstanceName, report: UsageReport) -> Message {
@@ -123,11 +123,11 @@
     answer.unwrap_or(Message::Declined(Declined::NotMine))
 }
 
-async fn send(shared: Arc<Shared>, outgoing: Outgoing) {
-    let Outgoing { to, report } = outgoing;
+async fn send(shared: Arc<Shared>, outgoing: OutgoingReport) {
+    let OutgoingReport { to, report } = outgoing;
     let targets = match to {
-        Target::Home(home) => vec![home],
-        Target::Lead(zone) => lead_targets(&shared, &zone, report.shard),
+        ReportTarget::Home(home) => vec![home],
+        ReportTarget::Lead(zone) => lead_targets(&shared, &zone, report.shard),
     };
     let claimant = report.claimant.clone();
     let message = Message::UsageReport(report);
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -28,7 +28,7 @@
 pub use savoryvane_core::poison::{CrashReport, PermitState};
 pub use savoryvane_core::{
     digest::{AgedDigest, Digest, DigestBatch, Leaver, LeavingBackend, LeavingNotice, ZoneDigest},
-    quota::{Claimant, Demand, Grant, Rate, UsageGrant, UsageReport, WorkspaceKey},
+    quota::{Demand, Grant, QuotaClaimant, Rate, UsageGrant, UsageReport, WorkspaceKey},
     stages::{RequestKey, StageOutcome, Submission},
 };
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
--- a/crates/wire/src/peer/limits.rs
+++ b/crates/wire/src/peer/limits.rs
@@ -5,7 +5,7 @@
     forwarding::{DirectoryUpdate, LimitReport, MAX_GRANT_CANDIDATES, MAX_ZONES},
     ids::{BackendName, MAX_NAME_BYTES},
     poison::CrashReport,
-    quota::Claimant,
+    quota::QuotaClaimant,
     topology::SHARDS,
 };
 
@@ -115,10 +115,10 @@
             .all(|entry| is_short(entry.backend.as_str()))
 }
 
-fn is_claimant_bounded(claimant: &Claimant) -> bool {
+fn is_claimant_bounded(claimant: &QuotaClaimant) -> bool {
     match claimant {
-        Claimant::Instance => true,
-        Claimant::Zone(zone) => is_short(zone.as_str()),
+        QuotaClaimant::Instance => true,
+        QuotaClaimant::Zone(zone) => is_short(zone.as_str()),
     }
 }
 
--- a/crates/wire/tests/peer.rs
+++ b/crates/wire/tests/peer.rs
@@ -112,7 +112,7 @@
         }]),
         Message::UsageReport(UsageReport {
             shard: Shard(3),
-            claimant: Claimant::Zone("hal-gouda".into()),
+            claimant: QuotaClaimant::Zone("hal-gouda".into()),
             stamp_ms: 1,
             cut: 0,
             demands: vec![Demand {
