--- a/crates/bench/benches/decisions.rs
+++ b/crates/bench/benches/decisions.rs
@@ -252,7 +252,7 @@
                 number += 1;
                 let key = IdempotencyKey::new(format!("key-{}", number % size.claims));
                 let hash = KeyHash::of(&"workspace".into(), &key);
-                black_box(index.standing(&hash));
+                black_box(index.key_status(&hash));
             });
         });
     }
--- a/crates/core/src/bucket.rs
+++ b/crates/core/src/bucket.rs
@@ -2,51 +2,51 @@
 
 use crate::quota::Rate;
 
-/// One request, in the bucket's unit: a [`Rate`] times milliseconds.
-const ONE: u64 = 1_000_000_000;
-/// Time of the safe share that a bucket holds, in ms: until a home has answered
-/// new demand.
-const SAFE_DEPTH_MS: u64 = 2_000;
-/// Time of its own rate that a bucket holds, in ms.
-const DEPTH_MS: u64 = 500;
-/// A thousandth of a request.
-const MILLI: u64 = ONE / 1_000;
-/// Least that a bucket holds: three requests, so that those that come before the
-/// first is made up for need not be refused.
-const LEAST_DEPTH: u64 = 3 * ONE;
-/// Time within which a bucket is to be filled again, in ms.
-const FILL_MS: u64 = 2_000;
-/// Least depth of a bucket that is filled by a rate rather than made up for, and
-/// whose fill is worth a report out of turn.
-const RATE_DEPTH: u64 = 4 * ONE;
-
-/// Tokens for requests, in thousand-millionths.
+/// Tokens for one request. A token is one unit of [`Rate`] times one millisecond.
+const TOKENS_PER_REQUEST: u64 = 1_000_000_000;
+/// Bucket capacity as a time at the rate of the safe share, in ms. It covers new
+/// demand until a home has responded to it.
+const SAFE_SHARE_CAPACITY_MS: u64 = 2_000;
+/// Bucket capacity as a time at the bucket's own rate, in ms.
+const RATE_CAPACITY_MS: u64 = 500;
+/// Tokens for a thousandth of a request.
+const TOKENS_PER_MILLI_REQUEST: u64 = TOKENS_PER_REQUEST / 1_000;
+/// Minimum capacity in tokens: three requests, so that requests that arrive before
+/// the first granted tokens need not be refused.
+const MIN_CAPACITY_TOKENS: u64 = 3 * TOKENS_PER_REQUEST;
+/// Time in which the requested rate refills a bucket, in ms.
+const REFILL_TIME_MS: u64 = 2_000;
+/// Minimum capacity in tokens of a bucket that is refilled by a rate rather than by
+/// granted tokens, and whose level can trigger an early report.
+const MIN_RATE_CAPACITY_TOKENS: u64 = 4 * TOKENS_PER_REQUEST;
+
+/// Token bucket with [`TOKENS_PER_REQUEST`] tokens for each request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TokenBucket {
     tokens: u64,
-    filled_ms: u64,
+    refilled_at_ms: u64,
 }
 
-/// Rates that a bucket goes by.
+/// Rates that determine the refill and the capacity of a bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BucketRates {
-    /// Rate at which it fills.
+    /// Refill rate.
     pub rate: Rate,
-    /// Safe share of the quota, by which its depth is counted.
+    /// Safe share of the quota, which contributes to the capacity.
     pub safe: Rate,
 }
 
 impl BucketRates {
-    /// Tells whether a bucket holds enough to speak of a rate.
+    /// Returns whether the capacity is large enough to refill the bucket by a rate.
     pub fn has_rate_capacity(self) -> bool {
-        self.capacity() >= RATE_DEPTH
+        self.capacity() >= MIN_RATE_CAPACITY_TOKENS
     }
 
-    /// Returns what a bucket holds at most.
+    /// Returns the capacity of the bucket, in tokens.
     fn capacity(self) -> u64 {
-        let by_safe = self.safe.0.saturating_mul(SAFE_DEPTH_MS);
-        let by_rate = self.rate.0.saturating_mul(DEPTH_MS);
-        by_safe.max(by_rate).max(LEAST_DEPTH)
+        let by_safe = self.safe.0.saturating_mul(SAFE_SHARE_CAPACITY_MS);
+        let by_rate = self.rate.0.saturating_mul(RATE_CAPACITY_MS);
+        by_safe.max(by_rate).max(MIN_CAPACITY_TOKENS)
     }
 }
 
@@ -55,7 +55,7 @@
     pub fn new(now_ms: u64, flow: BucketRates) -> Self {
         Self {
             tokens: flow.capacity(),
-            filled_ms: now_ms,
+            refilled_at_ms: now_ms,
         }
     }
 
@@ -63,69 +63,73 @@
     pub fn empty(now_ms: u64) -> Self {
         Self {
             tokens: 0,
-            filled_ms: now_ms,
+            refilled_at_ms: now_ms,
         }
     }
 
-    /// Adds what came in since the last call.
+    /// Adds the tokens for the time since the last call.
     pub fn refill(&mut self, now_ms: u64, flow: BucketRates) {
-        let elapsed_ms = now_ms.saturating_sub(self.filled_ms);
-        let came = flow.rate.0.saturating_mul(elapsed_ms);
-        self.tokens = self.tokens.saturating_add(came).min(flow.capacity());
-        self.filled_ms = self.filled_ms.max(now_ms);
+        let elapsed_ms = now_ms.saturating_sub(self.refilled_at_ms);
+        let added = flow.rate.0.saturating_mul(elapsed_ms);
+        self.tokens = self.tokens.saturating_add(added).min(flow.capacity());
+        self.refilled_at_ms = self.refilled_at_ms.max(now_ms);
     }
 
-    /// Adds what came in since the last call, to hold `most_milli` thousandths of a request
-    /// at most.
-    pub fn refill_up_to(&mut self, now_ms: u64, flow: BucketRates, most_milli: u64) {
+    /// Adds the tokens for the time since the last call, up to a level of
+    /// `max_milli` thousandths of a request.
+    pub fn refill_up_to(&mut self, now_ms: u64, flow: BucketRates, max_milli: u64) {
         self.refill(now_ms, flow);
-        self.tokens = self.tokens.min(most_milli.saturating_mul(MILLI));
+        self.tokens = self
+            .tokens
+            .min(max_milli.saturating_mul(TOKENS_PER_MILLI_REQUEST));
     }
 
-    /// Takes the token of one request, if there is one.
+    /// Takes the tokens for one request, if available.
     pub fn try_take(&mut self) -> bool {
-        let is_enough = self.tokens >= ONE;
-        if is_enough {
-            self.tokens -= ONE;
+        let has_tokens = self.tokens >= TOKENS_PER_REQUEST;
+        if has_tokens {
+            self.tokens -= TOKENS_PER_REQUEST;
         }
-        is_enough
+        has_tokens
     }
 
-    /// Tells whether a deep bucket is down to its half.
+    /// Returns whether a bucket that is refilled by a rate is less than half full.
     pub fn is_low(&self, flow: BucketRates) -> bool {
         flow.has_rate_capacity() && self.tokens < flow.capacity() / 2
     }
 
-    /// Returns what is missing to a full bucket, in thousandths of a request.
+    /// Returns the tokens missing to a full bucket, in thousandths of a request.
     pub fn missing_milli(&self, flow: BucketRates) -> u32 {
-        let missing = flow.capacity().saturating_sub(self.tokens) / MILLI;
+        let missing = flow.capacity().saturating_sub(self.tokens) / TOKENS_PER_MILLI_REQUEST;
         u32::try_from(missing).unwrap_or(u32::MAX)
     }
 
     /// Adds thousandths of a request.
     pub fn add_milli(&mut self, milli: u32) {
-        self.tokens = self.tokens.saturating_add(u64::from(milli) * MILLI);
+        self.tokens = self
+            .tokens
+            .saturating_add(u64::from(milli) * TOKENS_PER_MILLI_REQUEST);
     }
 
-    /// Takes up to so many thousandths of a request, and returns how many.
+    /// Takes up to `milli` thousandths of a request and returns the number taken.
     pub fn take_up_to_milli(&mut self, milli: u32) -> u32 {
-        let taken = u64::from(milli).min(self.tokens / MILLI);
-        self.tokens -= taken * MILLI;
+        let taken = u64::from(milli).min(self.tokens / TOKENS_PER_MILLI_REQUEST);
+        self.tokens -= taken * TOKENS_PER_MILLI_REQUEST;
         taken as u32
     }
 
-    /// Returns the rate that would fill the bucket within `FILL_MS`.
+    /// Returns the rate that would fill the bucket within `REFILL_TIME_MS`.
     pub fn refill_rate(&self, flow: BucketRates) -> Rate {
         Rate(
             flow.capacity()
                 .saturating_sub(self.tokens)
-                .div_ceil(FILL_MS),
+                .div_ceil(REFILL_TIME_MS),
         )
     }
 
-    /// Returns the time until the token of one request is there, in ms.
+    /// Returns the time until tokens for one request are available, in ms.
     pub fn wait_ms(&self, flow: BucketRates) -> u64 {
-        let missing = ONE.saturating_sub(self.tokens);
+        let missing = TOKENS_PER_REQUEST.saturating_sub(self.tokens);
         missing.div_ceil(flow.rate.0.max(1))
     }
 }
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -1,4 +1,4 @@
-//! Rates, and the messages by which a workspace's quota is divided.
+//! Rates, and the messages that divide the quota of a workspace.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -8,7 +8,7 @@
     topology::Shard,
 };
 
-/// A rate in millionths of a request a second.
+/// A rate in millionths of a request per second.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -16,81 +16,84 @@
 pub struct Rate(pub u64);
 
 impl Rate {
-    /// Returns the rate of `per_s` requests a second.
+    /// Returns the rate of `per_s` requests per second.
     pub fn per_s(per_s: u32) -> Self {
         Self(u64::from(per_s) * 1_000_000)
     }
 
-    /// Returns `part` of `whole` equal parts, rounded down.
+    /// Returns this rate multiplied by `numerator / denominator`, rounded down.
     #[must_use]
-    pub fn fraction(self, part: u32, whole: u32) -> Self {
-        let product = u128::from(self.0) * u128::from(part);
-        Self((product / u128::from(whole.max(1))) as u64)
+    pub fn fraction(self, numerator: u32, denominator: u32) -> Self {
+        let product = u128::from(self.0) * u128::from(numerator);
+        Self((product / u128::from(denominator.max(1))) as u64)
     }
 
-    /// Returns what is left after taking `other`, or none.
+    /// Returns the difference, or zero if `other` is larger.
     #[must_use]
     pub fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
 
-    /// Returns the sum, at most the highest rate there is.
+    /// Returns the sum, limited to the highest representable rate.
     #[must_use]
     pub fn saturating_add(self, other: Self) -> Self {
         Self(self.0.saturating_add(other.0))
     }
 }
 
-/// Time for which a grant may be used, counted from the report that it answers,
-/// in ms. A home counts what its claimants hold for as long after the last report.
+/// Time for which a grant is valid, counted from the report that it responds to,
+/// in ms. A home counts the rates held by a claimant for the same time after the
+/// claimant's last report.
 pub const GRANT_VALIDITY_MS: u64 = 3_000;
-/// Time after the last grant for which a claimant keeps to the lower of what it
-/// was granted and its safe share, in ms. It is long enough for a home to take
-/// back what it had lent of that share: by a zone's home to the lead it is
-/// noticed after twice [`GRANT_VALIDITY_MS`], since the zone's instances hold on for one,
-/// and what others were granted meanwhile lapses after another two.
+/// Time after the last grant for which a claimant uses at most the lower of its
+/// granted rate and its safe share, in ms. A home needs this time to reclaim the
+/// part of the share that it lent to others. A lead counts a zone as silent after
+/// twice [`GRANT_VALIDITY_MS`], because grants within the zone are valid for one
+/// period more than its own, and the grants to others expire after two more.
 pub const GRANT_HOLD_MS: u64 = 4 * GRANT_VALIDITY_MS;
-/// Part of its safe share that a claimant always keeps.
-const FLOOR_PARTS: u32 = 10;
+/// Divisor of the safe share that gives the floor of a claimant.
+const FLOOR_DIVISOR: u32 = 10;
 
-/// Least floor of a zone. Lending what is less would cost more messages than it
-/// is worth: most workspaces of a large deployment are that small.
+/// Minimum floor of a zone. Lending smaller rates would cost more messages than it
+/// gains, since most workspaces of a large deployment are that small.
 pub const MIN_ZONE_FLOOR: Rate = Rate(1_000_000);
 
-/// A claimant's part of a quota, as instances of all instances.
+/// Size of a claimant as a number of instances out of all instances. It determines
+/// the claimant's safe share and floor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClaimantSize {
-    /// Instances of the claimant.
+    /// Number of instances of the claimant.
     pub members: u32,
-    /// Those of them that its home does not hear, which go by their safe share.
+    /// Number of these instances that do not reach their home and use their safe
+    /// share.
     pub unreachable_members: u32,
-    /// Instances of the whole deployment.
+    /// Number of instances of the whole deployment.
     pub total_members: u32,
-    /// What the claimant is.
+    /// Kind of the claimant.
     pub level: Level,
 }
 
-/// What a claimant of a quota is.
+/// Kind of a claimant of a quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Level {
-    /// An instance, of its zone's home.
+    /// An instance that reports to its zone's home.
     Instance,
-    /// A zone, of the lead.
+    /// A zone whose home reports to the lead.
     Zone,
 }
 
 impl ClaimantSize {
-    /// Returns the safe share of `quota`, which needs no word from anyone.
+    /// Returns the safe share of `quota`, which may be used without any grant.
     pub fn safe_share(self, quota: Rate) -> Rate {
         quota.fraction(self.members, self.total_members)
     }
 
-    /// Returns what the claimant keeps even of a quota that it does not use.
+    /// Returns the rate that the claimant keeps even without demand.
     pub fn floor(self, quota: Rate) -> Rate {
-        let heard = self.members.saturating_sub(self.unreachable_members);
+        let reachable = self.members.saturating_sub(self.unreachable_members);
         let floor = quota
-            .fraction(heard, self.total_members)
-            .fraction(1, FLOOR_PARTS);
+            .fraction(reachable, self.total_members)
+            .fraction(1, FLOOR_DIVISOR);
         let floor = floor.saturating_add(quota.fraction(
             self.unreachable_members.min(self.members),
             self.total_members,
@@ -102,7 +105,7 @@
     }
 }
 
-/// A workspace in messages between instances: a hash of its name.
+/// Identifies a workspace in messages between instances by a hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct WorkspaceKey(pub u64);
@@ -119,45 +122,45 @@
     }
 }
 
-/// Demand for one active workspace.
+/// Demand of a claimant for one active workspace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demand {
     /// Workspace.
     pub key: WorkspaceKey,
-    /// Rate that is asked for.
+    /// Requested rate.
     pub wanted: Rate,
     /// Highest rate that may still be in use.
     pub held: Rate,
-    /// Requests that are to be made up for at once, in thousandths; asked for
-    /// when requests are too few to speak of a rate.
+    /// Requested tokens in thousandths of a request. They are requested instead
+    /// of a rate when requests are too few to measure one.
     pub missing: u32,
 }
 
-/// Who asks for a part of a shard's quotas.
+/// Sender of a demand for a part of a shard's quotas.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum QuotaClaimant {
-    /// The sending instance, of its zone's home.
+    /// The sending instance, to its zone's home.
     Instance,
-    /// The home of a zone, of the lead zone's home.
+    /// The home of a zone, to the lead zone's home.
     Zone(ZoneName),
 }
 
-/// Demand for the active workspaces of one shard. Every workspace that is not
-/// named is idle: its claimant keeps to the floor of its share.
+/// Demand for the active workspaces of one shard. Workspaces that are not named
+/// are idle, and the claimant uses at most its floor for them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageReport {
     /// Shard.
     pub shard: Shard,
-    /// Who asks.
+    /// Sender of the demand.
     pub claimant: QuotaClaimant,
-    /// Sender's clock, which the answer returns.
+    /// Time by the sender's clock, in ms, which the response returns.
     pub stamp_ms: u64,
-    /// Instances of a claiming zone that its home does not hear.
+    /// Number of instances of a zone that do not reach its home.
     pub cut: u32,
     /// Active workspaces.
     pub demands: Vec<Demand>,
-    /// Term of the home that granted last; by another one the home knows that
-    /// the claimant has just turned to it.
+    /// Term of the home that sent the last grant. If it differs from the receiving
+    /// home's term, the claimant has just switched to that home.
     pub term: Option<u64>,
 }
 
@@ -166,27 +169,27 @@
 pub struct Grant {
     /// Workspace.
     pub key: WorkspaceKey,
-    /// Rate that may be used.
+    /// Granted rate.
     pub rate: Rate,
-    /// Requests made up for, in thousandths.
+    /// Granted tokens, in thousandths of a request.
     pub made_up: u32,
 }
 
-/// Answer to a [`UsageReport`].
+/// Response to a [`UsageReport`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageGrant {
     /// Shard.
     pub shard: Shard,
-    /// Clock of the report.
+    /// Time of the report by the claimant's clock, in ms.
     pub stamp_ms: u64,
-    /// Term of the home that grants. A home that lost its table, or that became
-    /// home again, has another term.
+    /// Term of the granting home. A home that lost its state or became home again
+    /// has a new term.
     pub term: u64,
-    /// Age of what the home knows of the other zones, in ms.
+    /// Age of the home's information on the other zones, in ms.
     pub age_ms: u32,
-    /// A rate for each workspace of the report.
+    /// One grant for each workspace of the report.
     pub grants: Vec<Grant>,
-    /// Whether the home knows what every claimant holds, so that what an earlier
-    /// home granted does not matter any more.
+    /// Whether the home knows the rates held by every claimant, so that the grants
+    /// of an earlier home need not be considered any more.
     pub is_settled: bool,
 }
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -1,16 +1,17 @@
-//! Sharing of workspace quotas among the instances.
+//! Sharing of workspace quotas among instances.
 //!
 //! Each instance reports the demand for its active workspaces to the home of
 //! their shard in its zone every [`REPORT_MS`], and the home of a shard reports
-//! the zone's demand to the home in the shard's lead zone. Answers are grants
-//! that lapse. See [`share`](crate::share) and [`quota_allocator`](crate::quota_allocator) for what
-//! a claimant may use and what a home may grant.
+//! the zone's demand to the home in the shard's lead zone. Responses are grants
+//! that expire. See [`share`](crate::share) for the rate that a claimant may use
+//! and [`quota_allocator`](crate::quota_allocator) for the rates that a home may
+//! grant.
 
 mod exchange;
 mod home;
 
 pub use self::exchange::{NotHome, OutgoingReport, QuotaView, ReportTarget};
-use self::home::{HomeUsage, LeadUsage};
+use self::home::{HomeQuotas, LeadQuotas};
 use crate::{
     bucket::BucketRates,
     ids::{Incarnation, InstanceName, WorkspaceName, ZoneName},
@@ -24,15 +25,15 @@
     topology::{SHARDS, Shard},
 };
 
-/// Quotas as one instance uses and divides them.
+/// Quota sharing of one instance: the rates it uses and the quotas it allocates.
 #[derive(Debug)]
 pub struct Usage {
-    me: InstanceName,
+    own_name: InstanceName,
     zone: ZoneName,
     incarnation: Incarnation,
-    terms: u64,
+    last_term_number: u64,
     view: QuotaView,
-    whole: u32,
+    total_instances: u32,
     limiter: Limiter,
     shards: Vec<ShardUsage>,
 }
@@ -42,78 +43,83 @@
     shard: Shard,
     pace: Pace,
     share: Share,
-    home: Option<HomeUsage>,
+    home: Option<HomeQuotas>,
 }
 
 impl Usage {
-    /// Creates the quotas of an instance that has just started.
-    pub fn new(now_ms: u64, me: InstanceName, zone: ZoneName, incarnation: Incarnation) -> Self {
+    /// Creates the state of an instance that has just started.
+    pub fn new(
+        now_ms: u64,
+        own_name: InstanceName,
+        zone: ZoneName,
+        incarnation: Incarnation,
+    ) -> Self {
         let shard = |shard: Shard| ShardUsage {
             shard,
-            pace: Pace::new(now_ms, now_ms + first_ms(shard)),
+            pace: Pace::new(now_ms, now_ms + first_report_delay_ms(shard)),
             share: Share::starting(now_ms),
             home: None,
         };
         Self {
-            me,
+            own_name,
             zone,
             incarnation,
-            terms: 0,
+            last_term_number: 0,
             view: QuotaView::default(),
-            whole: 1,
+            total_instances: 1,
             limiter: Limiter::default(),
             shards: Shard::all().map(shard).collect(),
         }
     }
 
-    /// Replaces the quotas.
+    /// Replaces the quotas, in requests per second over the whole deployment.
     pub fn set_quotas<'a>(&mut self, quotas: impl Iterator<Item = (&'a WorkspaceName, u32)>) {
         self.limiter.set_quotas(quotas);
     }
 
-    /// Replaces who the instances are.
+    /// Replaces the instances that share the quotas.
     pub fn set_view(&mut self, now_ms: u64, view: QuotaView) {
         if view == self.view {
             return;
         }
-        self.whole = view.zones.values().sum::<u32>().max(1);
+        self.total_instances = view.zones.values().sum::<u32>().max(1);
         self.view = view;
         for index in 0..self.shards.len() {
-            self.renew_roles(now_ms, index);
+            self.update_roles(now_ms, index);
         }
     }
 
-    /// Decides whether a request of a workspace may run.
+    /// Decides whether a request of a workspace is admitted.
     pub fn admit(&mut self, now_ms: u64, workspace: &WorkspaceName) -> Admission {
         let Some(key) = self.limiter.key(workspace) else {
             return Admission::Unknown;
         };
-        let flow = BucketRates {
+        let bucket_rates = BucketRates {
             rate: self.rate(now_ms, key),
-            safe: self.own_part().safe_share(self.limiter.quota(key)),
+            safe: self.own_size().safe_share(self.limiter.quota(key)),
         };
-        let admission = self.limiter.admit(now_ms, key, flow);
+        let admission = self.limiter.admit(now_ms, key, bucket_rates);
         if self.limiter.take_low() {
             self.shards[usize::from(key.shard().0)].pace.urge();
         }
         admission
     }
 
-    /// Returns the rate that this instance may use for a workspace now.
+    /// Returns the rate that this instance may currently use for a workspace.
     pub fn rate(&self, now_ms: u64, key: WorkspaceKey) -> Rate {
         let quota = self.limiter.quota(key);
         let share = &self.shards[usize::from(key.shard().0)].share;
-        share.rate(now_ms, key, quota, self.own_part())
+        share.rate(now_ms, key, quota, self.own_size())
     }
 
-    /// Returns the age of the oldest shard's knowledge of the use elsewhere, in
-    /// ms; none when of some shard nothing is known.
+    /// Returns the age of the oldest information on other claimants among all shards,
+    /// in ms. Returns `None` if there is none for some shard.
     pub fn age_ms(&self, now_ms: u64) -> Option<u64> {
-        let ages = self.shards.iter().map(|shard| shard.share.age_ms(now_ms));
-        ages.collect::<Option<Vec<_>>>()?.into_iter().max()
+        let ages_ms = self.shards.iter().map(|shard| shard.share.age_ms(now_ms));
+        ages_ms.collect::<Option<Vec<_>>>()?.into_iter().max()
     }
 
-    /// Returns how many shards have a grant that is valid.
+    /// Returns the number of shards with a valid grant.
     pub fn granted_shards(&self, now_ms: u64) -> usize {
         let shards = self.shards.iter();
         shards
@@ -121,12 +127,12 @@
             .count()
     }
 
-    /// Returns how many workspaces are active here.
+    /// Returns the number of workspaces that are active on this instance.
     pub fn active(&self) -> usize {
         self.limiter.active()
     }
 
-    /// Returns the reports that are due. Shards take turns within
+    /// Returns the reports that are due. The reports of the shards are spread over
     /// [`REPORT_MS`].
     pub fn tick(&mut self, now_ms: u64) -> Vec<OutgoingReport> {
         let mut outgoing = Vec::new();
@@ -142,11 +148,11 @@
         outgoing
     }
 
-    /// Answers a report of an instance of this zone, or of another zone's home.
+    /// Handles a report of an instance of this zone or of a zone's home.
     ///
     /// # Errors
     ///
-    /// Names the shard's home when this instance is not it.
+    /// Returns the shard's home if this instance is not the home.
     pub fn on_report(
         &mut self,
         now_ms: u64,
@@ -154,31 +160,31 @@
         report: &UsageReport,
     ) -> Result<UsageGrant, NotHome> {
         let index = usize::from(report.shard.0 % SHARDS);
-        let not_home = || NotHome(self.view.homes.get(index).unwrap_or(&self.me).clone());
-        let cut = self.cut(now_ms, index);
-        let part = self.own_zone_part(cut);
+        let not_home = || NotHome(self.view.homes.get(index).unwrap_or(&self.own_name).clone());
+        let unreachable = self.unreachable_instances(now_ms, index);
+        let size = self.own_zone_size(unreachable);
         let Some(home) = &mut self.shards[index].home else {
             return Err(not_home());
         };
         let quota = |key| self.limiter.quota(key);
-        let answer = match &report.claimant {
-            QuotaClaimant::Instance => home.answer_instance(now_ms, from, report, part, quota),
+        let response = match &report.claimant {
+            QuotaClaimant::Instance => home.on_instance_report(now_ms, from, report, size, quota),
             QuotaClaimant::Zone(zone) => {
                 let lead = home.lead.as_mut().ok_or_else(not_home)?;
-                lead.answer_zone(now_ms, zone, report, quota)
+                lead.on_zone_report(now_ms, zone, report, quota)
             }
         };
         Ok(UsageGrant {
             shard: report.shard,
             stamp_ms: report.stamp_ms,
-            term: answer.term,
-            age_ms: u32::try_from(answer.age_ms).unwrap_or(u32::MAX),
-            grants: answer.grants,
-            is_settled: answer.is_settled,
+            term: response.term,
+            age_ms: u32::try_from(response.age_ms).unwrap_or(u32::MAX),
+            grants: response.grants,
+            is_settled: response.is_settled,
         })
     }
 
-    /// Takes the answer to a report of `claimant`.
+    /// Handles the response to a report of `claimant`.
     pub fn on_grant(&mut self, now_ms: u64, claimant: &QuotaClaimant, grant: &UsageGrant) {
         let shard = &mut self.shards[usize::from(grant.shard.0 % SHARDS)];
         match claimant {
@@ -197,34 +203,35 @@
         }
     }
 
-    fn own_part(&self) -> ClaimantSize {
+    fn own_size(&self) -> ClaimantSize {
         ClaimantSize {
             members: 1,
             unreachable_members: 0,
-            total_members: self.whole,
+            total_members: self.total_instances,
             level: Level::Instance,
         }
     }
 
-    fn own_zone_part(&self, cut: u32) -> ClaimantSize {
+    fn own_zone_size(&self, unreachable: u32) -> ClaimantSize {
         ClaimantSize {
             members: self.view.zones.get(&self.zone).copied().unwrap_or(1),
-            unreachable_members: cut,
-            total_members: self.whole,
+            unreachable_members: unreachable,
+            total_members: self.total_instances,
             level: Level::Zone,
         }
     }
 
-    /// Counts the instances of the zone that this home of a shard does not hear.
-    fn cut(&self, now_ms: u64, index: usize) -> u32 {
+    /// Returns the number of instances of the zone that do not reach this home of the
+    /// shard.
+    fn unreachable_instances(&self, now_ms: u64, index: usize) -> u32 {
         let home = self.shards[index].home.as_ref();
-        home.map_or(0, |home| home.instances.unheard(now_ms))
+        home.map_or(0, |home| home.instances.silent_members(now_ms))
     }
 
-    fn renew_roles(&mut self, now_ms: u64, index: usize) {
-        let is_home = self.view.homes.get(index) == Some(&self.me);
+    fn update_roles(&mut self, now_ms: u64, index: usize) {
+        let is_home = self.view.homes.get(index) == Some(&self.own_name);
         let is_lead = is_home && self.view.leads.get(index) == Some(&self.zone);
-        let terms = (self.next_term(), self.next_term());
+        let terms = (self.allocate_term(), self.allocate_term());
         let shard = &mut self.shards[index];
         if !is_home {
             shard.home = None;
@@ -232,23 +239,23 @@
         }
         let home = shard
             .home
-            .get_or_insert_with(|| HomeUsage::new(now_ms, terms.0));
+            .get_or_insert_with(|| HomeQuotas::new(now_ms, terms.0));
         let members = self.view.members.iter().map(|name| (name.clone(), 1));
-        home.instances.set_claimants(members, self.whole);
+        home.instances.set_claimants(members, self.total_instances);
         if !is_lead {
             home.lead = None;
             return;
         }
         let lead = home
             .lead
-            .get_or_insert_with(|| LeadUsage::new(now_ms, terms.1));
+            .get_or_insert_with(|| LeadQuotas::new(now_ms, terms.1));
         let zones = self.view.zones.iter().map(|(zone, n)| (zone.clone(), *n));
-        lead.zones.set_claimants(zones, self.whole);
+        lead.zones.set_claimants(zones, self.total_instances);
     }
 
-    fn next_term(&mut self) -> u64 {
-        self.terms += 1;
-        self.incarnation.0.rotate_left(17) ^ self.terms
+    fn allocate_term(&mut self) -> u64 {
+        self.last_term_number += 1;
+        self.incarnation.0.rotate_left(17) ^ self.last_term_number
     }
 
     fn report(
@@ -258,16 +265,16 @@
         elapsed_ms: u64,
         outgoing: &mut Vec<OutgoingReport>,
     ) {
-        let part = self.own_part();
+        let size = self.own_size();
         let shard = &mut self.shards[index];
         let share = &shard.share;
-        let flow_of = |key, quota| BucketRates {
-            rate: share.rate(now_ms, key, quota, part),
-            safe: part.safe_share(quota),
+        let rates_of = |key, quota| BucketRates {
+            rate: share.rate(now_ms, key, quota, size),
+            safe: size.safe_share(quota),
         };
         let demands = self
             .limiter
-            .demands(now_ms, shard.shard, elapsed_ms, flow_of);
+            .demands(now_ms, shard.shard, elapsed_ms, rates_of);
         shard.share.on_report(now_ms, &demands);
         let report = UsageReport {
             shard: shard.shard,
@@ -277,8 +284,8 @@
             demands,
             term: shard.share.term(),
         };
-        let me = self.me.clone();
-        match self.on_report(now_ms, &me, &report) {
+        let own_name = self.own_name.clone();
+        match self.on_report(now_ms, &own_name, &report) {
             Ok(grant) => self.on_grant(now_ms, &QuotaClaimant::Instance, &grant),
             Err(NotHome(home)) => outgoing.push(OutgoingReport {
                 to: ReportTarget::Home(home),
@@ -287,22 +294,23 @@
         }
     }
 
-    /// As the home of a shard, reports the zone's demand to the lead.
+    /// Reports the zone's demand to the lead, as the home of a shard.
     fn report_zone(&mut self, now_ms: u64, index: usize, outgoing: &mut Vec<OutgoingReport>) {
         let Some(lead) = self.view.leads.get(index).cloned() else {
             return;
         };
-        let cut = self.cut(now_ms, index);
-        let part = self.own_zone_part(cut);
+        let unreachable = self.unreachable_instances(now_ms, index);
+        let size = self.own_zone_size(unreachable);
         let Some(home) = &mut self.shards[index].home else {
             return;
         };
         let quota = |key| self.limiter.quota(key);
         let mut demands = home.instances.demands(now_ms, quota);
-        // The floor of a zone is all that it may have of a small quota.
-        demands.retain(|demand| part.safe_share(quota(demand.key)) > MIN_ZONE_FLOOR);
+        // For a small quota the zone's floor equals its safe share, so it needs no
+        // grant.
+        demands.retain(|demand| size.safe_share(quota(demand.key)) > MIN_ZONE_FLOOR);
         for demand in &mut demands {
-            let allowed = home.zone.rate(now_ms, demand.key, quota(demand.key), part);
+            let allowed = home.zone.rate(now_ms, demand.key, quota(demand.key), size);
             demand.held = demand.held.max(allowed);
         }
         home.zone.on_report(now_ms, &demands);
@@ -311,12 +319,12 @@
             shard: Shard(index as u8),
             claimant: claimant.clone(),
             stamp_ms: now_ms,
-            cut,
+            cut: unreachable,
             demands,
             term: home.zone.term(),
         };
-        let me = self.me.clone();
-        match self.on_report(now_ms, &me, &report) {
+        let own_name = self.own_name.clone();
+        match self.on_report(now_ms, &own_name, &report) {
             Ok(grant) => self.on_grant(now_ms, &claimant, &grant),
             Err(_) => outgoing.push(OutgoingReport {
                 to: ReportTarget::Lead(lead),
@@ -326,7 +334,8 @@
     }
 }
 
-/// Shards take turns within the time between two reports.
-fn first_ms(shard: Shard) -> u64 {
+/// Returns the delay of a shard's first report, which spreads the reports of all
+/// shards over the time between two reports, in ms.
+fn first_report_delay_ms(shard: Shard) -> u64 {
     u64::from(shard.0) * REPORT_MS / u64::from(SHARDS)
 }
--- a/crates/core/src/usage/exchange.rs
+++ b/crates/core/src/usage/exchange.rs
@@ -1,4 +1,4 @@
-//! What quotas go by, and the reports that they send.
+//! Membership view used by quota sharing, and the reports that it sends.
 
 use std::collections::BTreeMap;
 
@@ -7,38 +7,40 @@
     quota::UsageReport,
 };
 
-/// Who the instances are, as far as quotas go.
+/// Instances that share the quotas.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct QuotaView {
-    /// Instances of this zone, listed or heard of, this one included.
+    /// Instances of this zone, listed by the platform or known by gossip, including
+    /// this one.
     pub members: Vec<InstanceName>,
-    /// Number of instances of each zone, this one included.
+    /// Number of instances of each zone, including this zone.
     pub zones: BTreeMap<ZoneName, u32>,
-    /// Home of each shard in this zone.
+    /// Home of each shard in this zone, by shard index.
     pub homes: Vec<InstanceName>,
-    /// Lead zone of each shard.
+    /// Lead zone of each shard, by shard index.
     pub leads: Vec<ZoneName>,
 }
 
-/// Whom a report goes to.
+/// Receiver of a report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReportTarget {
-    /// An instance of this zone.
+    /// The shard's home in this zone.
     Home(InstanceName),
     /// The shard's home in another zone.
     Lead(ZoneName),
 }
 
-/// A report to send as a request; its answer goes to
+/// A report to send as a request. The response is passed to
 /// [`Usage::on_grant`](crate::usage::Usage::on_grant).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingReport {
-    /// Whom it goes to.
+    /// Receiver.
     pub to: ReportTarget,
-    /// The report.
+    /// Report to send.
     pub report: UsageReport,
 }
 
-/// This instance is not the home of a report's shard; that one is.
+/// Error for a report to an instance that is not the home of its shard. Contains the
+/// home.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NotHome(pub InstanceName);
--- a/crates/core/src/usage/home.rs
+++ b/crates/core/src/usage/home.rs
@@ -1,4 +1,4 @@
-//! How the home of a shard divides quotas.
+//! Allocation of quotas by the home of a shard.
 
 use crate::{
     ids::{InstanceName, ZoneName},
@@ -10,87 +10,89 @@
     share::Share,
 };
 
-/// Time after which a zone's home counts an instance with its safe share, in ms.
-const INSTANCE_LAPSE_MS: u64 = GRANT_VALIDITY_MS;
-/// Time after which the lead counts a zone with its safe share, in ms; what the
-/// zone's home granted holds on for [`GRANT_VALIDITY_MS`] after its own grant.
-const ZONE_LAPSE_MS: u64 = 2 * GRANT_VALIDITY_MS;
+/// Time without a report after which a zone's home counts an instance with its safe
+/// share, in ms.
+const INSTANCE_EXPIRY_MS: u64 = GRANT_VALIDITY_MS;
+/// Time without a report after which the lead counts a zone with its safe share, in
+/// ms. Grants of the zone's home stay valid for [`GRANT_VALIDITY_MS`] after the
+/// home's own grant has expired.
+const ZONE_EXPIRY_MS: u64 = 2 * GRANT_VALIDITY_MS;
 
-/// Quotas of one shard as its home in this zone divides them.
+/// State of the home of a shard in this zone.
 #[derive(Debug)]
-pub(super) struct HomeUsage {
-    /// Time as home, told from earlier ones.
+pub(super) struct HomeQuotas {
+    /// Term of this home, which differs from earlier terms.
     pub(super) term: u64,
     /// Pace of the zone's reports to the lead.
     pub(super) pace: Pace,
-    /// What the instances of the zone want and hold.
+    /// Allocation among the instances of the zone.
     pub(super) instances: QuotaAllocator<InstanceName>,
-    /// What the lead granted to the zone.
+    /// Grants of the lead to the zone.
     pub(super) zone: Share,
-    /// What it divides among zones, when this is the lead zone.
-    pub(super) lead: Option<LeadUsage>,
+    /// Allocation among zones, if this is the lead zone.
+    pub(super) lead: Option<LeadQuotas>,
 }
 
-/// Quotas of one shard as the home in its lead zone divides them.
+/// State of the home of a shard in its lead zone.
 #[derive(Debug)]
-pub(super) struct LeadUsage {
-    /// Time as home, told from earlier ones.
+pub(super) struct LeadQuotas {
+    /// Term of this lead, which differs from earlier terms.
     pub(super) term: u64,
-    /// What the zones want and hold.
+    /// Allocation among the zones.
     pub(super) zones: QuotaAllocator<ZoneName>,
 }
 
-/// What a home answers to one report.
+/// Response of a home to one report.
 #[derive(Debug)]
-pub(super) struct Answer {
-    /// Time as home that the grants belong to.
+pub(super) struct ReportResponse {
+    /// Term that the grants belong to.
     pub(super) term: u64,
-    /// Age of what is known of the use elsewhere, in ms.
+    /// Age of the information on other zones, in ms.
     pub(super) age_ms: u64,
     /// Grants, in the order of the report's demands.
     pub(super) grants: Vec<Grant>,
-    /// Whether it is known what all others hold.
+    /// Whether the rates held by all other claimants are known.
     pub(super) is_settled: bool,
 }
 
-impl HomeUsage {
-    /// Creates the quotas of a home that has heard nobody.
+impl HomeQuotas {
+    /// Creates the state of a home that has received no report.
     pub(super) fn new(now_ms: u64, term: u64) -> Self {
         Self {
             term,
             pace: Pace::new(now_ms, now_ms),
-            instances: QuotaAllocator::new(now_ms, INSTANCE_LAPSE_MS, Level::Instance),
+            instances: QuotaAllocator::new(now_ms, INSTANCE_EXPIRY_MS, Level::Instance),
             zone: Share::default(),
             lead: None,
         }
     }
 
-    /// Answers a report of an instance of this zone. A demand that is not met
-    /// urges the next report to the lead.
-    pub(super) fn answer_instance(
+    /// Handles a report of an instance of this zone. An unmet demand triggers an
+    /// early report to the lead.
+    pub(super) fn on_instance_report(
         &mut self,
         now_ms: u64,
         from: &InstanceName,
         report: &UsageReport,
-        part: ClaimantSize,
+        size: ClaimantSize,
         quota: impl Fn(WorkspaceKey) -> Rate,
-    ) -> Answer {
+    ) -> ReportResponse {
         if report.term != Some(self.term) {
             self.instances.on_join(now_ms, from);
         }
         let zone = &self.zone;
-        let divided = |key| AllocatableQuota {
+        let workspace_quota = |key| AllocatableQuota {
             quota: quota(key),
-            total: zone.rate(now_ms, key, quota(key), part),
+            allocatable: zone.rate(now_ms, key, quota(key), size),
         };
         let grants = self
             .instances
-            .on_report(now_ms, from, 0, &report.demands, divided);
-        let is_short = |(grant, demand): (&Grant, &Demand)| grant.rate < demand.wanted;
-        if grants.iter().zip(&report.demands).any(is_short) {
+            .on_report(now_ms, from, 0, &report.demands, workspace_quota);
+        let is_unmet = |(grant, demand): (&Grant, &Demand)| grant.rate < demand.wanted;
+        if grants.iter().zip(&report.demands).any(is_unmet) {
             self.pace.urge();
         }
-        Answer {
+        ReportResponse {
             term: self.term,
             age_ms: self.zone.age_ms(now_ms).unwrap_or(0),
             grants,
@@ -99,34 +101,34 @@
     }
 }
 
-impl LeadUsage {
-    /// Creates the quotas of a lead that has heard no zone.
+impl LeadQuotas {
+    /// Creates the state of a lead that has received no report.
     pub(super) fn new(now_ms: u64, term: u64) -> Self {
         Self {
             term,
-            zones: QuotaAllocator::new(now_ms, ZONE_LAPSE_MS, Level::Zone),
+            zones: QuotaAllocator::new(now_ms, ZONE_EXPIRY_MS, Level::Zone),
         }
     }
 
-    /// Answers a report of a zone's home.
-    pub(super) fn answer_zone(
+    /// Handles a report of a zone's home.
+    pub(super) fn on_zone_report(
         &mut self,
         now_ms: u64,
         zone: &ZoneName,
         report: &UsageReport,
         quota: impl Fn(WorkspaceKey) -> Rate,
-    ) -> Answer {
+    ) -> ReportResponse {
         if report.term != Some(self.term) {
             self.zones.on_join(now_ms, zone);
         }
-        let divided = |key| AllocatableQuota {
+        let workspace_quota = |key| AllocatableQuota {
             quota: quota(key),
-            total: quota(key),
+            allocatable: quota(key),
         };
-        let grants = self
-            .zones
-            .on_report(now_ms, zone, report.cut, &report.demands, divided);
-        Answer {
+        let grants =
+            self.zones
+                .on_report(now_ms, zone, report.cut, &report.demands, workspace_quota);
+        ReportResponse {
             term: self.term,
             age_ms: 0,
             grants,
