--- a/crates/bench/src/peer_net.rs
+++ b/crates/bench/src/peer_net.rs
@@ -144,7 +144,7 @@
     /// Sets what an instance says of itself.
     pub fn set_own(&mut self, index: usize, own: OwnState) {
         self.nodes[index].own = own;
-        self.apply(index, Event::Own(own));
+        self.apply(index, Event::OwnStateChanged(own));
     }
 
     /// Gives an instance an event.
@@ -184,7 +184,7 @@
         node.kept.clear();
         node.told.clear();
         let own = node.own;
-        self.apply(index, Event::Own(own));
+        self.apply(index, Event::OwnStateChanged(own));
     }
 
     /// Stops an instance where it stands.
@@ -312,14 +312,14 @@
             };
             if self.nodes[to].running == Running::Yes && !self.is_cut(index, to) {
                 self.nodes[index].linked.insert(peer.clone());
-                self.apply(index, Event::Linked(peer));
+                self.apply(index, Event::PeerConnected(peer));
             }
         }
     }
 
     fn act(&mut self, index: usize, action: Action) {
         match action {
-            Action::Keep(peers) => {
+            Action::ConnectTo(peers) => {
                 let node = &mut self.nodes[index];
                 node.kept = peers.into_iter().map(|peer| peer.instance).collect();
                 node.linked = node.linked.intersection(&node.kept).cloned().collect();
--- a/crates/bench/src/quota_net.rs
+++ b/crates/bench/src/quota_net.rs
@@ -10,7 +10,7 @@
     ids::{Incarnation, InstanceName, WorkspaceName, ZoneName},
     limiter::Admission,
     quota::{QuotaClaimant, Rate, UsageGrant, UsageReport, WorkspaceKey},
-    topology::{Duty, Shard, first, lead_zone},
+    topology::{Duty, Shard, highest_ranked, lead_zone},
     usage::{OutgoingReport, QuotaView, ReportTarget, Usage},
 };
 use savoryvane_wire::peer::{Message, encode};
@@ -236,7 +236,7 @@
             .nodes
             .iter()
             .filter(|n| n.is_running && n.zone == *zone);
-        let home = first(Duty::Home(shard), members.map(|node| &node.name))?;
+        let home = highest_ranked(Duty::Home(shard), members.map(|node| &node.name))?;
         self.index.get(home).copied()
     }
 
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -5,8 +5,8 @@
 //! new to the neighbours that are not known to have it.
 
 mod event;
+mod propagation;
 mod query;
-mod spread;
 mod view;
 mod zone;
 
@@ -24,7 +24,7 @@
 use view::View;
 
 pub use event::{Action, Contact, Event, Gossip, Identity, OwnState};
-pub use spread::Spread;
+pub use propagation::Propagation;
 
 /// Time between two ticks, in ms.
 pub const TICK_MS: u64 = 200;
@@ -98,8 +98,8 @@
         match event {
             Event::Tick => self.tick(now_ms, &mut actions),
             Event::Listed(listed) => self.take_list(now_ms, listed, &mut actions),
-            Event::Linked(peer) => self.greet(now_ms, &peer, &mut actions),
-            Event::Own(own) => self.take_own(now_ms, own, &mut actions),
+            Event::PeerConnected(peer) => self.greet(now_ms, &peer, &mut actions),
+            Event::OwnStateChanged(own) => self.take_own(now_ms, own, &mut actions),
             Event::Digests { from, batch } => {
                 self.take_digests(now_ms, &from, batch, &mut actions);
             }
--- a/crates/core/src/membership/event.rs
+++ b/crates/core/src/membership/event.rs
@@ -55,9 +55,9 @@
     /// The platform's list was read.
     Listed(Vec<ListedInstance>),
     /// A gossip stream to a peer was opened.
-    Linked(InstanceName),
+    PeerConnected(InstanceName),
     /// The instance's own state, as it is now.
-    Own(OwnState),
+    OwnStateChanged(OwnState),
     /// A peer sent digests.
     Digests {
         /// The peer.
@@ -104,7 +104,7 @@
         gossip: Gossip,
     },
     /// Keep a gossip stream to each of these peers and to no other.
-    Keep(Vec<Contact>),
+    ConnectTo(Vec<Contact>),
     /// Give a backend server no new work.
     BackendLeaving(BackendName),
     /// A newer run of this instance lives; this one has to leave.
--- a/crates/core/src/membership/spread.rs
+++ b/crates/core/src/membership/propagation.rs
@@ -9,7 +9,7 @@
 
 /// How far an offset of the configuration has come.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Spread {
+pub struct Propagation {
     /// Listed live instances that have it in force.
     pub in_force: u32,
     /// Listed live instances.
@@ -21,22 +21,22 @@
 
 impl Membership {
     /// Tells how far the record at `offset` has come.
-    pub fn spread(&self, offset: Offset) -> Spread {
-        let mut spread = Spread {
+    pub fn propagation(&self, offset: Offset) -> Propagation {
+        let mut propagation = Propagation {
             in_force: 0,
             listed: 0,
             missing: Vec::new(),
         };
         for listed in self.listed.iter().filter(|listed| !listed.is_leaving) {
-            spread.listed += 1;
+            propagation.listed += 1;
             if self.has_in_force(listed, offset) {
-                spread.in_force += 1;
+                propagation.in_force += 1;
             } else {
-                spread.missing.push(listed.instance.clone());
+                propagation.missing.push(listed.instance.clone());
             }
         }
-        self.add_partial_zones(offset, &mut spread);
-        spread
+        self.add_partial_zones(offset, &mut propagation);
+        propagation
     }
 
     fn has_in_force(&self, listed: &ListedInstance, offset: Offset) -> bool {
@@ -52,7 +52,7 @@
     }
 
     /// Of a zone that lags only the number is known: its names stay missing.
-    fn add_partial_zones(&self, offset: Offset, spread: &mut Spread) {
+    fn add_partial_zones(&self, offset: Offset, propagation: &mut Propagation) {
         for (_, zone) in self.zones.iter() {
             let digest = zone.digest();
             let is_whole = digest.silent == 0 && digest.config_min > offset;
@@ -60,11 +60,11 @@
                 continue;
             }
             if digest.config_min > offset {
-                spread.in_force += digest.live;
+                propagation.in_force += digest.live;
             } else if digest.config_max > offset {
-                spread.in_force += digest.at_max;
+                propagation.in_force += digest.at_max;
             }
         }
-        spread.in_force = spread.in_force.min(spread.listed);
+        propagation.in_force = propagation.in_force.min(propagation.listed);
     }
 }
--- a/crates/core/src/membership/query.rs
+++ b/crates/core/src/membership/query.rs
@@ -5,7 +5,7 @@
 use crate::{
     ids::InstanceName,
     roster::{ListedInstance, Member, MemberState},
-    topology::{Duty, Shard, first, lead_zone, ranked},
+    topology::{Duty, Shard, highest_ranked, lead_zone, ranked},
     usage::QuotaView,
     zones::Zones,
 };
@@ -30,7 +30,7 @@
 
     /// Returns the home of a shard in this zone.
     pub fn home(&self, shard: Shard) -> &InstanceName {
-        let home = first(Duty::Home(shard), self.view.live.iter());
+        let home = highest_ranked(Duty::Home(shard), self.view.live.iter());
         home.unwrap_or(&self.me.instance)
     }
 
--- a/crates/core/src/membership/view.rs
+++ b/crates/core/src/membership/view.rs
@@ -6,7 +6,7 @@
     digest::Readiness,
     ids::{InstanceName, ZoneName},
     roster::{Member, MemberState},
-    topology::{Duty, first, neighbours, ranked},
+    topology::{Duty, highest_ranked, neighbours, ranked},
 };
 
 use super::{Action, Contact, Membership};
@@ -65,7 +65,7 @@
         };
         self.view_made_ms = Some(now_ms);
         if is_kept_changed {
-            actions.push(Action::Keep(self.view.kept.clone()));
+            actions.push(Action::ConnectTo(self.view.kept.clone()));
         }
     }
 
@@ -90,8 +90,9 @@
                 .or_default()
                 .push(&listed.instance);
         }
-        let is_mine =
-            |zone: &ZoneName| first(Duty::ZoneLink(zone), live.iter()) == Some(&self.me.instance);
+        let is_mine = |zone: &ZoneName| {
+            highest_ranked(Duty::ZoneLink(zone), live.iter()) == Some(&self.me.instance)
+        };
         by_zone
             .into_iter()
             .filter(|(zone, _)| is_mine(zone))
--- a/crates/core/src/roster.rs
+++ b/crates/core/src/roster.rs
@@ -9,7 +9,7 @@
 };
 
 /// Age from which an account is neither taken nor passed on, in ms.
-pub const EXPIRY_MS: u64 = 60_000;
+pub const DIGEST_EXPIRY_MS: u64 = 60_000;
 /// Zone size up to which every instance makes an account each second.
 const FULL_PACE_MEMBERS: u64 = 32;
 /// Least time between two accounts of an instance, in ms.
@@ -35,7 +35,7 @@
 }
 
 /// Returns the age from which an instance counts as silent, in ms.
-pub fn silence_ms(members: usize) -> u64 {
+pub fn silence_timeout_ms(members: usize) -> u64 {
     3 * period_ms(members) + 2 * LEAST_PERIOD_MS
 }
 
@@ -124,14 +124,14 @@
         by_account || self.listed.as_ref().is_some_and(|listed| listed.is_leaving)
     }
 
-    fn state(&self, now_ms: u64, silence_ms: u64) -> MemberState {
+    fn state(&self, now_ms: u64, timeout_ms: u64) -> MemberState {
         if self.is_leaving() {
             return MemberState::Leaving;
         }
         match self.age_ms(now_ms) {
-            Some(age_ms) if age_ms <= silence_ms => MemberState::Live,
+            Some(age_ms) if age_ms <= timeout_ms => MemberState::Live,
             Some(_) => MemberState::Silent,
-            None if now_ms.saturating_sub(self.listed_since_ms) <= silence_ms => {
+            None if now_ms.saturating_sub(self.listed_since_ms) <= timeout_ms => {
                 MemberState::Listed
             }
             None => MemberState::Silent,
@@ -168,15 +168,15 @@
 
     /// Returns what an instance is taken for.
     pub fn state(&self, member: &Member, now_ms: u64) -> MemberState {
-        member.state(now_ms, silence_ms(self.members.len() + 1))
+        member.state(now_ms, silence_timeout_ms(self.members.len() + 1))
     }
 
     /// Tells whether an instance was heard of lately, leaving or not.
     pub fn is_heard(&self, member: &Member, now_ms: u64) -> bool {
-        let silence_ms = silence_ms(self.members.len() + 1);
+        let timeout_ms = silence_timeout_ms(self.members.len() + 1);
         member
             .age_ms(now_ms)
-            .is_some_and(|age_ms| age_ms <= silence_ms)
+            .is_some_and(|age_ms| age_ms <= timeout_ms)
     }
 
     /// Takes the platform's list of the zone, without the instance itself.
@@ -193,7 +193,7 @@
     /// Takes an account that came from `from`. Returns whether it is news.
     pub fn take(&mut self, now_ms: u64, from: &InstanceName, entry: &AgedDigest) -> bool {
         let age_ms = u64::from(entry.age_ms);
-        if age_ms > EXPIRY_MS {
+        if age_ms > DIGEST_EXPIRY_MS {
             return false;
         }
         let member = self.entry(now_ms, &entry.digest.instance);
@@ -253,7 +253,9 @@
     /// Forgets who is not listed and has been silent for long.
     pub fn forget_old(&mut self, now_ms: u64) {
         self.members.retain(|_, member| {
-            let is_young = member.age_ms(now_ms).is_some_and(|age| age <= EXPIRY_MS);
+            let is_young = member
+                .age_ms(now_ms)
+                .is_some_and(|age| age <= DIGEST_EXPIRY_MS);
             member.listed.is_some() || is_young
         });
     }
@@ -277,7 +279,7 @@
 
     fn aged(&self, now_ms: u64) -> Option<AgedDigest> {
         let age_ms = now_ms.saturating_sub(self.made_at_ms);
-        (age_ms <= EXPIRY_MS).then(|| AgedDigest {
+        (age_ms <= DIGEST_EXPIRY_MS).then(|| AgedDigest {
             digest: self.digest.clone(),
             age_ms: age_ms as u32,
         })
--- a/crates/core/src/topology.rs
+++ b/crates/core/src/topology.rs
@@ -100,7 +100,7 @@
 }
 
 /// Returns the member that ranks first for a duty.
-pub fn first<'a>(
+pub fn highest_ranked<'a>(
     duty: Duty<'_>,
     members: impl Iterator<Item = &'a InstanceName>,
 ) -> Option<&'a InstanceName> {
--- a/crates/core/tests/members_gossip.rs
+++ b/crates/core/tests/members_gossip.rs
@@ -6,7 +6,7 @@
     digest::{AgedDigest, DigestBatch, Leaver, LeavingNotice, LoadSummary, Readiness},
     ids::{InstanceName, Offset},
     membership::{Action, Event, OwnState},
-    roster::{EXPIRY_MS, MemberState, list_interval_ms, silence_ms},
+    roster::{DIGEST_EXPIRY_MS, MemberState, list_interval_ms, silence_timeout_ms},
 };
 
 const READY: OwnState = OwnState {
@@ -108,9 +108,9 @@
     net.kill(1);
     let listed: Vec<_> = (0..9).filter(|i| *i != 1).collect();
     net.list(&listed);
-    net.run(EXPIRY_MS + 5_000);
+    net.run(DIGEST_EXPIRY_MS + 5_000);
     assert_eq!(state(&net, 0, 1), None, "forgotten");
-    let age_ms = EXPIRY_MS as u32 + 1;
+    let age_ms = DIGEST_EXPIRY_MS as u32 + 1;
     let entries = vec![AgedDigest { digest, age_ms }];
     let zone = net.identity(0).zone.clone();
     let batch = DigestBatch { zone, entries };
@@ -138,13 +138,16 @@
         );
     }
     let is_known = |net: &PeerNet| {
-        let spreads = net.nodes.iter().map(|node| node.core.spread(Offset(7)));
+        let spreads = net
+            .nodes
+            .iter()
+            .map(|node| node.core.propagation(Offset(7)));
         let mut spreads = spreads;
         spreads.all(|spread| spread.in_force == 27 && spread.missing.is_empty())
     };
     let took = net.run_until(10_000, is_known);
     assert!(took.is_some_and(|ms| ms <= 4_000), "{took:?}");
-    let none = net.nodes[0].core.spread(Offset(8));
+    let none = net.nodes[0].core.propagation(Offset(8));
     assert_eq!((none.in_force, none.listed), (0, 27));
 }
 
@@ -188,7 +191,7 @@
     let mut net = started(8, 1, 95);
     net.run(10_000);
     net.kill(13);
-    net.run(silence_ms(95) + 2_000);
+    net.run(silence_timeout_ms(95) + 2_000);
     for index in net.running() {
         assert_eq!(state(&net, index, 13), Some(MemberState::Silent));
     }
@@ -204,7 +207,7 @@
     }
     let took = net.run_until(30_000, |net| everyone_sees(net, 71));
     assert!(
-        took.is_some_and(|ms| ms <= silence_ms(95) + 3_000),
+        took.is_some_and(|ms| ms <= silence_timeout_ms(95) + 3_000),
         "{took:?}"
     );
     net.run(20_000);
@@ -268,7 +271,7 @@
     net.run(3_000);
     for index in net.running().into_iter().filter(|i| *i != 3) {
         assert_ne!(state(&net, index, 9), Some(MemberState::Live));
-        let spread = net.nodes[index].core.spread(Offset(49));
+        let spread = net.nodes[index].core.propagation(Offset(49));
         assert_eq!(spread.in_force, 18);
         assert_eq!(state(&net, index, 3), Some(MemberState::Live));
     }
--- a/crates/core/tests/members_topology.rs
+++ b/crates/core/tests/members_topology.rs
@@ -4,7 +4,7 @@
 
 use savoryvane_core::{
     ids::InstanceName,
-    topology::{Duty, RINGS, Shard, first, neighbours, ranked},
+    topology::{Duty, RINGS, Shard, highest_ranked, neighbours, ranked},
 };
 
 fn names(count: usize) -> Vec<InstanceName> {
@@ -67,9 +67,9 @@
         assert_eq!(before.difference(&after).filter(touched).count(), 0);
         assert!(after.difference(&before).count() <= 2 * RINGS as usize);
         for shard in Shard::all() {
-            let home = first(Duty::Home(shard), members.iter());
+            let home = highest_ranked(Duty::Home(shard), members.iter());
             if home != Some(&members[gone]) {
-                assert_eq!(first(Duty::Home(shard), left.iter()), home);
+                assert_eq!(highest_ranked(Duty::Home(shard), left.iter()), home);
             }
         }
     }
@@ -83,7 +83,7 @@
         let duty = Duty::Home(shard);
         assert_eq!(ranked(duty, members.iter()), ranked(duty, reversed.iter()));
         assert_eq!(
-            first(duty, members.iter()),
+            highest_ranked(duty, members.iter()),
             ranked(duty, members.iter()).first().copied()
         );
     }
@@ -93,7 +93,7 @@
 fn homes_spread_over_a_zone_of_95() {
     let members = names(95);
     let homes: BTreeSet<_> = Shard::all()
-        .filter_map(|shard| first(Duty::Home(shard), members.iter()))
+        .filter_map(|shard| highest_ranked(Duty::Home(shard), members.iter()))
         .collect();
     assert!(homes.len() >= 12, "{} homes", homes.len());
 }
--- a/crates/server/src/admin/views.rs
+++ b/crates/server/src/admin/views.rs
@@ -25,7 +25,7 @@
 /// known by their zone's digest only.
 pub(super) fn reach(shared: &Shared, offset: Offset) -> Reach {
     members::tell_own_state(shared);
-    let spread = shared.members.membership().spread(offset);
+    let spread = shared.members.membership().propagation(offset);
     Reach {
         offset,
         in_force: spread.in_force,
--- a/crates/server/src/members.rs
+++ b/crates/server/src/members.rs
@@ -102,14 +102,14 @@
     loop {
         tokio::select! {
             _ = ticks.tick() => {
-                apply(&shared, Event::Own(own_state(&shared)));
+                apply(&shared, Event::OwnStateChanged(own_state(&shared)));
                 apply(&shared, Event::Tick);
                 sharing::tick(&shared);
             }
             _ = views.tick() => sharing::renew_view(&shared),
             Some(peer) = linked.recv() => {
                 crashes::on_linked(&shared, &peer.instance);
-                apply(&shared, Event::Linked(peer.instance));
+                apply(&shared, Event::PeerConnected(peer.instance));
             }
         }
     }
@@ -143,7 +143,7 @@
 
 /// Tells the other instances at once that this one leaves.
 pub(crate) fn tell_own_state(shared: &Shared) {
-    apply(shared, Event::Own(own_state(shared)));
+    apply(shared, Event::OwnStateChanged(own_state(shared)));
 }
 
 /// Tells the other instances that a backend server says that it leaves.
@@ -160,7 +160,7 @@
     let (actions, addrs) = {
         let mut membership = shared.members.membership();
         let actions = membership.on_event(now_ms, event);
-        let is_moved = is_list || actions.iter().any(|a| matches!(a, Action::Keep(_)));
+        let is_moved = is_list || actions.iter().any(|a| matches!(a, Action::ConnectTo(_)));
         (
             actions,
             is_moved.then(|| membership.contacts().collect::<Vec<_>>()),
@@ -179,7 +179,7 @@
     let peers = shared.members.peers();
     match action {
         Action::Send { to, gossip } => peers.send(&to, message(gossip)),
-        Action::Keep(contacts) => {
+        Action::ConnectTo(contacts) => {
             info!(shared.log, "neighbours chosen"; "count" => contacts.len());
             peers.keep(&contacts);
         }
