--- a/crates/core/src/digest.rs
+++ b/crates/core/src/digest.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other about themselves, their zones and what leaves.
+//! Gossip messages about instances, zones and leaving notices.
 
 use std::net::SocketAddr;
 
@@ -6,16 +6,16 @@
 
 use crate::ids::{BackendName, Incarnation, InstanceName, Offset, RegionName, ZoneName};
 
-/// Whether an instance takes requests, by its own account.
+/// Readiness of an instance, as published by itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Readiness {
-    /// It does not take requests yet.
+    /// The instance does not accept requests yet.
     #[default]
     Starting,
-    /// It takes requests.
+    /// The instance accepts requests.
     Ready,
-    /// It finishes what it has.
+    /// The instance only finishes its requests in flight.
     Leaving,
 }
 
@@ -30,44 +30,44 @@
     pub refused: u32,
 }
 
-/// Tells which of two accounts of an instance is the newer one.
+/// Version of a digest, which orders the digests of an instance.
 ///
-/// The generation starts as the time of the start in seconds, and a run that
-/// finds an older run's account ahead of its own raises it above that. So a
-/// restart wins also when its clock was set back.
+/// The generation is initially the start time in seconds. An incarnation that sees a
+/// newer version of an older incarnation raises its generation above it, so a
+/// restarted instance wins even if its clock was set back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// Order among runs of the instance.
+    /// Order among incarnations of the instance.
     pub generation: u32,
-    /// The run.
+    /// Incarnation.
     pub incarnation: Incarnation,
-    /// Order among the accounts of one run.
+    /// Order among the digests of one incarnation.
     pub seq: u32,
 }
 
-/// An instance's account of itself.
+/// State of an instance, published by itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
     /// Name of the instance.
     pub instance: InstanceName,
-    /// Order of this account.
+    /// Version of this digest.
     pub version: Version,
     /// Address for peers.
     pub addr: SocketAddr,
-    /// Whether it takes requests.
+    /// Whether the instance accepts requests.
     pub readiness: Readiness,
-    /// Next configuration offset that it expects.
+    /// Next configuration offset to apply.
     pub config_next: Offset,
-    /// Next offset of the claim stream that it expects.
+    /// Next offset of the claim stream to apply.
     pub claims_next: Offset,
-    /// Its load.
+    /// Load of the instance.
     pub load: LoadSummary,
 }
 
-/// A digest with the time since its instance made it.
+/// A digest and its age.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgedDigest {
-    /// The account.
+    /// The digest.
     pub digest: Digest,
     /// Time since it was made, in ms.
     pub age_ms: u32,
@@ -76,13 +76,13 @@
 /// Digests of instances of one zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DigestBatch {
-    /// Zone that all of them stand in.
+    /// Zone of all the instances.
     pub zone: ZoneName,
     /// The digests.
     pub entries: Vec<AgedDigest>,
 }
 
-/// Account of a whole zone, which is all that other zones get.
+/// Summary of a zone. Other zones receive no digests of its instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneDigest {
     /// Zone that it describes.
@@ -93,13 +93,13 @@
     pub age_ms: u32,
     /// Instances that are live and not leaving.
     pub live: u32,
-    /// Listed instances that nothing was heard of for too long.
+    /// Listed instances that are silent or have not sent a digest yet.
     pub silent: u32,
     /// Lowest next configuration offset among the live ones.
     pub config_min: Offset,
     /// Highest next configuration offset among the live ones.
     pub config_max: Offset,
-    /// Live instances that are at the highest.
+    /// Live instances at `config_max`.
     pub at_max: u32,
     /// Requests in flight.
     pub in_flight: u32,
@@ -116,25 +116,25 @@
     pub age_ms: u32,
 }
 
-/// What a leaving notice is about.
+/// Subject of a leaving notice.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Leaver {
-    /// One run of an entry instance.
+    /// One incarnation of an entry instance.
     Instance {
         /// Name of the instance.
         instance: InstanceName,
-        /// The run that leaves.
+        /// Incarnation that leaves.
         incarnation: Incarnation,
     },
     /// A backend server.
     Backend(BackendName),
 }
 
-/// Says that something is leaving.
+/// Notice that an instance or backend server is leaving.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingNotice {
-    /// What is leaving.
+    /// Instance or backend server that is leaving.
     pub leaver: Leaver,
-    /// Time since that was first known, in ms.
+    /// Time since this was first known, in ms.
     pub age_ms: u32,
 }
--- a/crates/core/src/membership/event.rs
+++ b/crates/core/src/membership/event.rs
@@ -1,4 +1,4 @@
-//! What happens to an instance's knowledge of the others, and what follows.
+//! Events and actions of the membership state machine.
 
 use std::net::SocketAddr;
 
@@ -8,76 +8,75 @@
     roster::ListedInstance,
 };
 
-/// What an instance is, for as long as it runs.
+/// Identity of one incarnation of an instance.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// Name of the instance.
     pub instance: InstanceName,
-    /// Its run.
+    /// Incarnation.
     pub incarnation: Incarnation,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: ZoneName,
-    /// Region of that zone.
+    /// Region of the zone.
     pub region: RegionName,
-    /// Its address for peers.
+    /// Address for peers.
     pub addr: SocketAddr,
-    /// Time of its start by the system's clock, in s since the Unix epoch.
+    /// Start time by the system clock, in s since the Unix epoch.
     pub started_at_s: u32,
 }
 
-/// An instance and the address that it is reached at.
+/// An instance and its address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Contact {
     /// Name of the instance.
     pub instance: InstanceName,
-    /// Its address for peers.
+    /// Address for peers.
     pub addr: SocketAddr,
 }
 
-/// What an instance says of itself.
+/// State that an instance publishes about itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OwnState {
-    /// Whether it takes requests.
+    /// Whether the instance accepts requests.
     pub readiness: Readiness,
-    /// Next configuration offset that it expects.
+    /// Next configuration offset to apply.
     pub config_next: Offset,
-    /// Next offset of the claim stream that it expects.
+    /// Next offset of the claim stream to apply.
     pub claims_next: Offset,
-    /// Its load.
+    /// Load of the instance.
     pub load: LoadSummary,
 }
 
-/// What happens to an instance's knowledge of the others.
+/// Input of the membership state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// [`TICK_MS`](super::TICK_MS) have passed.
+    /// [`TICK_MS`](super::TICK_MS) have elapsed.
     Tick,
     /// The platform's list was read.
     Listed(Vec<ListedInstance>),
     /// A gossip stream to a peer was opened.
     PeerConnected(InstanceName),
-    /// The instance's own state, as it is now.
+    /// The current state of this instance.
     OwnStateChanged(OwnState),
     /// A peer sent digests.
     Digests {
         /// The peer.
         from: InstanceName,
-        /// What it sent.
+        /// The digests.
         batch: DigestBatch,
     },
-    /// Something is leaving, by a peer's word, or by this instance's when there
-    /// is no peer.
+    /// An instance or backend server is leaving.
     Leaving {
-        /// The peer.
+        /// Peer that sent the notice; `None` when this instance originates it.
         from: Option<InstanceName>,
-        /// What is leaving.
+        /// The notice.
         notice: LeavingNotice,
     },
     /// A peer sent digests of zones.
     Zones {
         /// The peer.
         from: InstanceName,
-        /// What it sent.
+        /// The digests.
         zones: Vec<ZoneDigest>,
     },
 }
@@ -87,13 +86,13 @@
 pub enum Gossip {
     /// Digests of instances.
     Digests(DigestBatch),
-    /// Something is leaving.
+    /// An instance or backend server is leaving.
     Leaving(LeavingNotice),
     /// Digests of zones.
     Zones(Vec<ZoneDigest>),
 }
 
-/// What has to happen.
+/// Output of the membership state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a message to a peer.
@@ -103,10 +102,10 @@
         /// The message.
         gossip: Gossip,
     },
-    /// Keep a gossip stream to each of these peers and to no other.
+    /// Keep a gossip stream open to each of these peers and to no other.
     ConnectTo(Vec<Contact>),
-    /// Give a backend server no new work.
+    /// Send no new work to a backend server, because it is leaving.
     BackendLeaving(BackendName),
-    /// A newer run of this instance lives; this one has to leave.
+    /// A newer incarnation of this instance is alive, so this one must leave.
     Superseded,
 }
--- a/crates/core/src/membership/propagation.rs
+++ b/crates/core/src/membership/propagation.rs
@@ -1,4 +1,4 @@
-//! How far an offset of the configuration has come.
+//! Propagation of a configuration offset to the instances.
 
 use crate::{
     ids::{InstanceName, Offset},
@@ -7,20 +7,20 @@
 
 use super::Membership;
 
-/// How far an offset of the configuration has come.
+/// Propagation of a configuration offset.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Propagation {
-    /// Listed live instances that have it in force.
+    /// Listed instances, without leaving ones, that have the offset in force.
     pub in_force: u32,
-    /// Listed live instances.
+    /// Listed instances, without leaving ones.
     pub listed: u32,
-    /// Listed live instances that have not reported it, as far as their names
-    /// are known to lag.
+    /// Names of listed instances, without leaving ones, that are not known to have
+    /// the offset in force.
     pub missing: Vec<InstanceName>,
 }
 
 impl Membership {
-    /// Tells how far the record at `offset` has come.
+    /// Returns the propagation of the record at `offset`.
     pub fn propagation(&self, offset: Offset) -> Propagation {
         let mut propagation = Propagation {
             in_force: 0,
@@ -40,10 +40,10 @@
     }
 
     fn has_in_force(&self, listed: &ListedInstance, offset: Offset) -> bool {
-        if listed.instance == self.me.instance {
-            return self.own.config_next > offset;
+        if listed.instance == self.identity.instance {
+            return self.own_state.config_next > offset;
         }
-        if listed.zone == self.me.zone {
+        if listed.zone == self.identity.zone {
             let digest = self.roster.get(&listed.instance).and_then(Member::digest);
             return digest.is_some_and(|digest| digest.config_next > offset);
         }
@@ -51,12 +51,13 @@
         zone.is_some_and(|zone| zone.digest().silent == 0 && zone.digest().config_min > offset)
     }
 
-    /// Of a zone that lags only the number is known: its names stay missing.
+    /// Adds the instances of lagging zones. Only their number is known, so their names
+    /// stay in `missing`.
     fn add_partial_zones(&self, offset: Offset, propagation: &mut Propagation) {
         for (_, zone) in self.zones.iter() {
             let digest = zone.digest();
-            let is_whole = digest.silent == 0 && digest.config_min > offset;
-            if is_whole {
+            let is_complete = digest.silent == 0 && digest.config_min > offset;
+            if is_complete {
                 continue;
             }
             if digest.config_min > offset {
--- a/crates/core/src/membership/query.rs
+++ b/crates/core/src/membership/query.rs
@@ -1,4 +1,4 @@
-//! What others ask of an instance's knowledge.
+//! Queries on the membership state.
 
 use std::collections::BTreeMap;
 
@@ -13,12 +13,12 @@
 use super::{Contact, Identity, Membership};
 
 impl Membership {
-    /// Returns what the instance is.
+    /// Returns the identity of this instance.
     pub fn me(&self) -> &Identity {
-        &self.me
+        &self.identity
     }
 
-    /// Returns the live instances of the zone, this one included, by name.
+    /// Returns the live instances of the zone, including this one, sorted by name.
     pub fn live(&self) -> &[InstanceName] {
         &self.view.live
     }
@@ -31,13 +31,15 @@
     /// Returns the home of a shard in this zone.
     pub fn home(&self, shard: Shard) -> &InstanceName {
         let home = highest_ranked(Duty::Home(shard), self.view.live.iter());
-        home.unwrap_or(&self.me.instance)
+        home.unwrap_or(&self.identity.instance)
     }
 
     /// Returns this instance's rank for a duty in its zone, from 0.
     pub fn rank(&self, duty: Duty<'_>) -> usize {
         let order = ranked(duty, self.view.live.iter());
-        let rank = order.iter().position(|name| **name == self.me.instance);
+        let rank = order
+            .iter()
+            .position(|name| **name == self.identity.instance);
         rank.unwrap_or(0)
     }
 
@@ -50,47 +52,54 @@
         members.map(move |(name, member)| (name, member, self.roster.state(member, now_ms)))
     }
 
-    /// Tells whether an instance is known in this zone.
+    /// Returns whether an instance is known in this zone.
     pub fn is_in_zone(&self, instance: &InstanceName) -> bool {
-        *instance == self.me.instance || self.roster.get(instance).is_some()
+        *instance == self.identity.instance || self.roster.get(instance).is_some()
     }
 
-    /// Returns the platform's list, of all zones.
+    /// Returns the instances of all zones as listed by the platform.
     pub fn listed(&self) -> &[ListedInstance] {
         &self.listed
     }
 
-    /// Returns what is known of the other zones.
+    /// Returns the state of the other zones.
     pub fn zones(&self) -> &Zones {
         &self.zones
     }
 
-    /// Iterates over every instance that can be reached, of all zones.
+    /// Iterates over all instances of all zones with a known address.
     pub fn contacts(&self) -> impl Iterator<Item = Contact> {
-        let mine = self.roster.iter().filter_map(|(name, member)| {
+        let local = self.roster.iter().filter_map(|(name, member)| {
             Some(Contact {
                 instance: name.clone(),
                 addr: member.addr()?,
             })
         });
-        let others = self.listed.iter().filter(|l| l.zone != self.me.zone);
-        mine.chain(others.map(|listed| Contact {
+        let remote = self
+            .listed
+            .iter()
+            .filter(|instance| instance.zone != self.identity.zone);
+        local.chain(remote.map(|listed| Contact {
             instance: listed.instance.clone(),
             addr: listed.addr,
         }))
     }
 
-    /// Returns who the instances are, as far as quotas go: everyone that may be
-    /// there counts, also who is silent.
+    /// Returns the instances that share the quotas. Silent instances are included,
+    /// because they may still be running.
     pub fn quota_view(&self) -> QuotaView {
         let mut members: Vec<_> = self.roster.iter().map(|(name, _)| name.clone()).collect();
-        members.push(self.me.instance.clone());
+        members.push(self.identity.instance.clone());
         members.sort_unstable();
-        let mut zones = BTreeMap::from([(self.me.zone.clone(), members.len() as u32)]);
-        for listed in self.listed.iter().filter(|l| l.zone != self.me.zone) {
+        let mut zones = BTreeMap::from([(self.identity.zone.clone(), members.len() as u32)]);
+        for listed in self
+            .listed
+            .iter()
+            .filter(|instance| instance.zone != self.identity.zone)
+        {
             *zones.entry(listed.zone.clone()).or_insert(0) += 1;
         }
-        let lead = |shard| lead_zone(shard, zones.keys()).unwrap_or(&self.me.zone);
+        let lead = |shard| lead_zone(shard, zones.keys()).unwrap_or(&self.identity.zone);
         QuotaView {
             leads: Shard::all().map(|shard| lead(shard).clone()).collect(),
             homes: Shard::all().map(|shard| self.home(shard).clone()).collect(),
--- a/crates/core/src/membership/view.rs
+++ b/crates/core/src/membership/view.rs
@@ -1,4 +1,4 @@
-//! Who is where, computed from what is known of the others.
+//! View of live instances, neighbours and connections, computed from the roster.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 
 use super::{Action, Contact, Membership};
 
-/// Instances of another zone that get this zone's digest.
+/// Number of instances of another zone that receive this zone's digest.
 const ZONE_TARGETS: usize = 2;
 
 #[derive(Debug, Default)]
@@ -19,62 +19,69 @@
     pub(super) live: Vec<InstanceName>,
     pub(super) neighbours: Vec<InstanceName>,
     pub(super) targets: Vec<(ZoneName, Vec<InstanceName>)>,
-    pub(super) kept: Vec<Contact>,
+    pub(super) connections: Vec<Contact>,
 }
 
 impl Membership {
-    pub(super) fn renew_view(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
+    pub(super) fn update_view(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         let mut live = Vec::new();
         let mut reachable = Vec::new();
-        let mut all = Vec::new();
+        let mut known_members = Vec::new();
         for (name, member, state) in self.members(now_ms) {
-            let is_heard = self.roster.is_heard(member, now_ms);
+            let has_recent_digest = self.roster.has_recent_digest(member, now_ms);
             match state {
                 MemberState::Live => live.push(name.clone()),
-                // One that leaves is told the news for as long as it finishes
-                // requests.
-                MemberState::Leaving if !is_heard => continue,
+                // A leaving instance receives gossip while it still sends digests
+                // and finishes its requests.
+                MemberState::Leaving if !has_recent_digest => continue,
                 MemberState::Leaving | MemberState::Silent | MemberState::Listed => {}
             }
-            if is_heard || state == MemberState::Listed {
+            if has_recent_digest || state == MemberState::Listed {
                 reachable.push(name);
             }
-            all.push(name);
+            known_members.push(name);
         }
-        if self.own.readiness != Readiness::Leaving {
-            live.push(self.me.instance.clone());
+        if self.own_state.readiness != Readiness::Leaving {
+            live.push(self.identity.instance.clone());
             live.sort_unstable();
         }
-        // Who is silent stays a neighbour as well: both sides of a cut find each
-        // other again that way.
-        let mut near = neighbours(&self.me.instance, reachable.iter().copied());
-        near.extend(neighbours(&self.me.instance, all.iter().copied()));
-        near.sort_unstable();
-        near.dedup();
-        let near: Vec<_> = near.into_iter().cloned().collect();
+        // Silent instances also stay neighbours, so that both sides of a partition
+        // reconnect after it heals.
+        let mut neighbour_names = neighbours(&self.identity.instance, reachable.iter().copied());
+        neighbour_names.extend(neighbours(
+            &self.identity.instance,
+            known_members.iter().copied(),
+        ));
+        neighbour_names.sort_unstable();
+        neighbour_names.dedup();
+        let neighbour_names: Vec<_> = neighbour_names.into_iter().cloned().collect();
         let targets = self.zone_targets(&live);
-        let far = targets.iter().flat_map(|(_, targets)| targets);
-        let kept = near.iter().chain(far);
-        let kept: Vec<_> = kept.filter_map(|name| self.contact(name)).collect();
-        let is_kept_changed = kept != self.view.kept;
+        let zone_peers = targets.iter().flat_map(|(_, targets)| targets);
+        let connections = neighbour_names.iter().chain(zone_peers);
+        let connections: Vec<_> = connections.filter_map(|name| self.contact(name)).collect();
+        let has_connection_change = connections != self.view.connections;
         self.view = View {
             live,
-            neighbours: near,
+            neighbours: neighbour_names,
             targets,
-            kept,
+            connections,
         };
-        self.view_made_ms = Some(now_ms);
-        if is_kept_changed {
-            actions.push(Action::ConnectTo(self.view.kept.clone()));
+        self.view_updated_ms = Some(now_ms);
+        if has_connection_change {
+            actions.push(Action::ConnectTo(self.view.connections.clone()));
         }
     }
 
     fn contact(&self, name: &InstanceName) -> Option<Contact> {
-        let known = self.roster.get(name).and_then(Member::addr);
-        let listed = || self.listed.iter().find(|l| l.instance == *name);
+        let member_addr = self.roster.get(name).and_then(Member::addr);
+        let listed = || {
+            self.listed
+                .iter()
+                .find(|instance| instance.instance == *name)
+        };
         Some(Contact {
             instance: name.clone(),
-            addr: known.or_else(|| listed().map(|listed| listed.addr))?,
+            addr: member_addr.or_else(|| listed().map(|listed| listed.addr))?,
         })
     }
 
@@ -83,21 +90,21 @@
         let others = self
             .listed
             .iter()
-            .filter(|l| l.zone != self.me.zone && !l.is_leaving);
+            .filter(|instance| instance.zone != self.identity.zone && !instance.is_leaving);
         for listed in others {
             by_zone
                 .entry(&listed.zone)
                 .or_default()
                 .push(&listed.instance);
         }
-        let is_mine = |zone: &ZoneName| {
-            highest_ranked(Duty::ZoneLink(zone), live.iter()) == Some(&self.me.instance)
+        let is_linked_here = |zone: &ZoneName| {
+            highest_ranked(Duty::ZoneLink(zone), live.iter()) == Some(&self.identity.instance)
         };
         by_zone
             .into_iter()
-            .filter(|(zone, _)| is_mine(zone))
+            .filter(|(zone, _)| is_linked_here(zone))
             .map(|(zone, names)| {
-                let order = ranked(Duty::ZoneLink(&self.me.zone), names.into_iter());
+                let order = ranked(Duty::ZoneLink(&self.identity.zone), names.into_iter());
                 let targets = order.into_iter().take(ZONE_TARGETS).cloned().collect();
                 (zone.clone(), targets)
             })
--- a/crates/core/src/membership/zone.rs
+++ b/crates/core/src/membership/zone.rs
@@ -1,4 +1,4 @@
-//! The digest of this instance's zone, for the other zones.
+//! Digest of this instance's zone, sent to other zones.
 
 use crate::{
     digest::{Digest, Leaver, LeavingBackend, ZoneDigest},
@@ -8,7 +8,7 @@
 
 use super::{Action, Gossip, Membership, NOTICE_EXPIRY_MS, send};
 
-/// Most backend servers that a zone's digest says are leaving.
+/// Maximum number of leaving backend servers in a zone digest.
 const MAX_ZONE_LEAVING: usize = 64;
 
 impl Membership {
@@ -24,20 +24,20 @@
 
     fn zone_digest(&self, now_ms: u64) -> ZoneDigest {
         let mut digest = ZoneDigest {
-            zone: self.me.zone.clone(),
-            region: self.me.region.clone(),
+            zone: self.identity.zone.clone(),
+            region: self.identity.region.clone(),
             age_ms: 0,
             live: 1,
             silent: 0,
-            config_min: self.own.config_next,
-            config_max: self.own.config_next,
+            config_min: self.own_state.config_next,
+            config_max: self.own_state.config_next,
             at_max: 1,
-            in_flight: self.own.load.in_flight,
+            in_flight: self.own_state.load.in_flight,
             leaving: self.leaving_backends(now_ms),
         };
         for (_, member, state) in self.members(now_ms) {
             match (state, member.digest()) {
-                (MemberState::Live, Some(account)) => add_to_zone(&mut digest, account),
+                (MemberState::Live, Some(member_digest)) => add_member(&mut digest, member_digest),
                 (MemberState::Silent | MemberState::Listed, _) if member.is_listed() => {
                     digest.silent += 1;
                 }
@@ -48,33 +48,33 @@
     }
 
     fn leaving_backends(&self, now_ms: u64) -> Vec<LeavingBackend> {
-        let mut known: Vec<_> = self
+        let mut leaving: Vec<_> = self
             .notices
             .iter()
-            .filter_map(|(leaver, known_ms)| match leaver {
-                Leaver::Backend(backend) => Some((now_ms.saturating_sub(*known_ms), backend)),
+            .filter_map(|(leaver, first_known_ms)| match leaver {
+                Leaver::Backend(backend) => Some((now_ms.saturating_sub(*first_known_ms), backend)),
                 Leaver::Instance { .. } => None,
             })
             .filter(|(age_ms, _)| *age_ms <= NOTICE_EXPIRY_MS)
             .collect();
-        known.sort_unstable();
-        known.truncate(MAX_ZONE_LEAVING);
+        leaving.sort_unstable();
+        leaving.truncate(MAX_ZONE_LEAVING);
         let entry = |(age_ms, backend): (u64, &BackendName)| LeavingBackend {
             backend: backend.clone(),
             age_ms: age_ms as u32,
         };
-        known.into_iter().map(entry).collect()
+        leaving.into_iter().map(entry).collect()
     }
 }
 
-fn add_to_zone(zone: &mut ZoneDigest, account: &Digest) {
+fn add_member(zone: &mut ZoneDigest, member_digest: &Digest) {
     zone.live += 1;
-    zone.in_flight += account.load.in_flight;
-    zone.config_min = zone.config_min.min(account.config_next);
-    if account.config_next > zone.config_max {
-        zone.config_max = account.config_next;
+    zone.in_flight += member_digest.load.in_flight;
+    zone.config_min = zone.config_min.min(member_digest.config_next);
+    if member_digest.config_next > zone.config_max {
+        zone.config_max = member_digest.config_next;
         zone.at_max = 1;
-    } else if account.config_next == zone.config_max {
+    } else if member_digest.config_next == zone.config_max {
         zone.at_max += 1;
     }
 }
--- a/crates/core/src/roster.rs
+++ b/crates/core/src/roster.rs
@@ -1,5 +1,5 @@
-//! Which instances of its zone an instance knows, how new that is, and which
-//! account of an instance replaces which.
+//! Instances of the zone known to an instance, the age of their digests, and the
+//! rule by which a digest replaces another one.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -8,35 +8,37 @@
     ids::{Incarnation, InstanceName, ZoneName},
 };
 
-/// Age from which an account is neither taken nor passed on, in ms.
+/// Age above which a digest is neither accepted nor forwarded, in ms.
 pub const DIGEST_EXPIRY_MS: u64 = 60_000;
-/// Zone size up to which every instance makes an account each second.
-const FULL_PACE_MEMBERS: u64 = 32;
-/// Least time between two accounts of an instance, in ms.
-pub const LEAST_PERIOD_MS: u64 = 1_000;
-
-/// Least time between two reads of the platform's list, in ms.
-const LEAST_LIST_INTERVAL_MS: u64 = 500;
-/// Time between two reads for each entry, in ms: about 6 KB/s at 96 bytes each.
+/// Zone size up to which each instance makes a digest every
+/// [`MIN_DIGEST_INTERVAL_MS`].
+const FULL_RATE_MEMBERS: u64 = 32;
+/// Minimum time between two digests of an instance, in ms.
+pub const MIN_DIGEST_INTERVAL_MS: u64 = 1_000;
+
+/// Minimum time between two reads of the platform's list, in ms.
+const MIN_LIST_INTERVAL_MS: u64 = 500;
+/// Time between two reads of the list for each of its entries, in ms. It bounds the
+/// reads of one instance to about 6 KB/s at 96 bytes for each entry.
 const LIST_MS_PER_ENTRY: u64 = 16;
 
-/// Returns the time between two accounts of an instance in a zone of `members`,
-/// in ms. It grows with the zone, so that what a neighbour receives does not.
-pub fn period_ms(members: usize) -> u64 {
-    let members = (members as u64).max(FULL_PACE_MEMBERS);
-    members * LEAST_PERIOD_MS / FULL_PACE_MEMBERS
+/// Returns the time between two digests of an instance in a zone of `members`, in
+/// ms. It grows with the zone, so that the traffic to a neighbour does not.
+pub fn digest_interval_ms(members: usize) -> u64 {
+    let members = (members as u64).max(FULL_RATE_MEMBERS);
+    members * MIN_DIGEST_INTERVAL_MS / FULL_RATE_MEMBERS
 }
 
 /// Returns the time between two reads of the platform's list by one instance, in
-/// ms. It grows with the list, so that what an instance reads in a second does
-/// not; the instances of a zone read at different times and tell each other.
+/// ms. It grows with the list, so that the bytes read per second do not. The
+/// instances of a zone read at different times and share the result by gossip.
 pub fn list_interval_ms(entries: usize) -> u64 {
-    LEAST_LIST_INTERVAL_MS.max(entries as u64 * LIST_MS_PER_ENTRY)
+    MIN_LIST_INTERVAL_MS.max(entries as u64 * LIST_MS_PER_ENTRY)
 }
 
-/// Returns the age from which an instance counts as silent, in ms.
+/// Returns the digest age above which an instance counts as silent, in ms.
 pub fn silence_timeout_ms(members: usize) -> u64 {
-    3 * period_ms(members) + 2 * LEAST_PERIOD_MS
+    3 * digest_interval_ms(members) + 2 * MIN_DIGEST_INTERVAL_MS
 }
 
 /// An instance as the platform lists it.
@@ -44,29 +46,29 @@
 pub struct ListedInstance {
     /// Name of the instance.
     pub instance: InstanceName,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: ZoneName,
-    /// Its address for peers.
+    /// Address for peers.
     pub addr: SocketAddr,
-    /// Whether the list says that it is leaving.
+    /// Whether the list marks it as leaving.
     pub is_leaving: bool,
 }
 
-/// What an instance is taken for.
+/// State of another instance as seen by this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum MemberState {
-    /// Heard of lately and not leaving.
+    /// Has a recent digest and is not leaving.
     Live,
-    /// Leaving, by its own account, a notice or the list.
+    /// Leaving, according to its digest, a notice or the list.
     Leaving,
-    /// Heard of, but not lately.
+    /// Has no recent digest.
     Silent,
-    /// Listed and not heard of yet.
+    /// Recently listed and without a digest so far.
     Listed,
 }
 
 impl MemberState {
-    /// Returns the name used by the operators' interface and in logs.
+    /// Returns the name used in the admin API and in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Live => "live",
@@ -77,51 +79,51 @@
     }
 }
 
-/// What is known of one other instance of the zone.
+/// Record of one other instance of the zone.
 #[derive(Clone, Debug)]
 pub struct Member {
     listed: Option<ListedInstance>,
     listed_since_ms: u64,
-    account: Option<Account>,
+    received: Option<ReceivedDigest>,
 }
 
 #[derive(Clone, Debug)]
-struct Account {
+struct ReceivedDigest {
     digest: Digest,
     made_at_ms: u64,
     holders: Vec<InstanceName>,
-    left: Option<Incarnation>,
+    left_incarnation: Option<Incarnation>,
 }
 
 impl Member {
-    /// Returns its newest account.
+    /// Returns its newest digest.
     pub fn digest(&self) -> Option<&Digest> {
-        self.account.as_ref().map(|account| &account.digest)
+        self.received.as_ref().map(|received| &received.digest)
     }
 
-    /// Returns the age of its newest account, in ms.
+    /// Returns the age of its newest digest, in ms.
     pub fn age_ms(&self, now_ms: u64) -> Option<u64> {
-        let account = self.account.as_ref()?;
-        Some(now_ms.saturating_sub(account.made_at_ms))
+        let received = self.received.as_ref()?;
+        Some(now_ms.saturating_sub(received.made_at_ms))
     }
 
-    /// Returns the address to reach it at: its own word goes before the list's.
+    /// Returns its address. The address in its digest takes precedence over the list.
     pub fn addr(&self) -> Option<SocketAddr> {
-        let own = self.account.as_ref().map(|account| account.digest.addr);
-        own.or_else(|| self.listed.as_ref().map(|listed| listed.addr))
+        let own_addr = self.received.as_ref().map(|received| received.digest.addr);
+        own_addr.or_else(|| self.listed.as_ref().map(|listed| listed.addr))
     }
 
-    /// Tells whether the platform lists it.
+    /// Returns whether the platform lists it.
     pub fn is_listed(&self) -> bool {
         self.listed.is_some()
     }
 
     fn is_leaving(&self) -> bool {
-        let by_account = self.account.as_ref().is_some_and(|account| {
-            account.digest.readiness == Readiness::Leaving
-                || account.left == Some(account.digest.version.incarnation)
+        let by_digest = self.received.as_ref().is_some_and(|received| {
+            received.digest.readiness == Readiness::Leaving
+                || received.left_incarnation == Some(received.digest.version.incarnation)
         });
-        by_account || self.listed.as_ref().is_some_and(|listed| listed.is_leaving)
+        by_digest || self.listed.as_ref().is_some_and(|listed| listed.is_leaving)
     }
 
     fn state(&self, now_ms: u64, timeout_ms: u64) -> MemberState {
@@ -151,35 +153,35 @@
         self.members.iter()
     }
 
-    /// Returns how many members are known.
+    /// Returns the number of known members.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Tells whether no member is known.
+    /// Returns whether no member is known.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// Returns what is known of an instance.
+    /// Returns the record of an instance.
     pub fn get(&self, instance: &InstanceName) -> Option<&Member> {
         self.members.get(instance)
     }
 
-    /// Returns what an instance is taken for.
+    /// Returns the state of a member.
     pub fn state(&self, member: &Member, now_ms: u64) -> MemberState {
         member.state(now_ms, silence_timeout_ms(self.members.len() + 1))
     }
 
-    /// Tells whether an instance was heard of lately, leaving or not.
-    pub fn is_heard(&self, member: &Member, now_ms: u64) -> bool {
+    /// Returns whether a member has a recent digest, whether it is leaving or not.
+    pub fn has_recent_digest(&self, member: &Member, now_ms: u64) -> bool {
         let timeout_ms = silence_timeout_ms(self.members.len() + 1);
         member
             .age_ms(now_ms)
             .is_some_and(|age_ms| age_ms <= timeout_ms)
     }
 
-    /// Takes the platform's list of the zone, without the instance itself.
+    /// Replaces the platform's list of the zone, which excludes this instance.
     pub fn set_listed(&mut self, now_ms: u64, listed: &[&ListedInstance]) {
         for member in self.members.values_mut() {
             member.listed = None;
@@ -190,73 +192,81 @@
         }
     }
 
-    /// Takes an account that came from `from`. Returns whether it is news.
-    pub fn take(&mut self, now_ms: u64, from: &InstanceName, entry: &AgedDigest) -> bool {
+    /// Applies a digest received from `from`. Returns whether it is newer than the
+    /// known one.
+    pub fn apply_digest(&mut self, now_ms: u64, from: &InstanceName, entry: &AgedDigest) -> bool {
         let age_ms = u64::from(entry.age_ms);
         if age_ms > DIGEST_EXPIRY_MS {
             return false;
         }
         let member = self.entry(now_ms, &entry.digest.instance);
-        if let Some(known) = &mut member.account {
-            if known.digest.version == entry.digest.version {
-                known.add_holder(from);
+        if let Some(current) = &mut member.received {
+            if current.digest.version == entry.digest.version {
+                current.add_holder(from);
             }
-            if known.digest.version >= entry.digest.version {
+            if current.digest.version >= entry.digest.version {
                 return false;
             }
         }
-        let left = member.account.take().and_then(|account| account.left);
-        member.account = Some(Account {
+        let left_incarnation = member
+            .received
+            .take()
+            .and_then(|received| received.left_incarnation);
+        member.received = Some(ReceivedDigest {
             digest: entry.digest.clone(),
             made_at_ms: now_ms.saturating_sub(age_ms),
             holders: vec![from.clone()],
-            left,
+            left_incarnation,
         });
         true
     }
 
-    /// Takes note that a run of an instance is leaving. Returns whether it is news.
-    pub fn take_leaving(&mut self, instance: &InstanceName, incarnation: Incarnation) -> bool {
-        let account = self
+    /// Marks an incarnation of an instance as leaving. Returns whether this is new.
+    pub fn mark_leaving(&mut self, instance: &InstanceName, incarnation: Incarnation) -> bool {
+        let received = self
             .members
             .get_mut(instance)
-            .and_then(|member| member.account.as_mut());
-        match account {
-            Some(account) if account.left != Some(incarnation) => {
-                account.left = Some(incarnation);
+            .and_then(|member| member.received.as_mut());
+        match received {
+            Some(received) if received.left_incarnation != Some(incarnation) => {
+                received.left_incarnation = Some(incarnation);
                 true
             }
             _ => false,
         }
     }
 
-    /// Returns the account of an instance for `to`, unless `to` is known to have it.
-    pub fn account_for(
+    /// Returns the digest of an instance to send to `to`, unless `to` is known to have
+    /// it.
+    pub fn digest_for(
         &self,
         now_ms: u64,
         instance: &InstanceName,
         to: &InstanceName,
     ) -> Option<AgedDigest> {
-        let account = self.members.get(instance)?.account.as_ref()?;
-        if to == instance || account.holders.contains(to) {
+        let received = self.members.get(instance)?.received.as_ref()?;
+        if to == instance || received.holders.contains(to) {
             return None;
         }
-        account.aged(now_ms)
+        received.aged(now_ms)
     }
 
-    /// Iterates over every account that is young enough to be passed on.
-    pub fn accounts(&self, now_ms: u64) -> impl Iterator<Item = AgedDigest> {
-        let accounts = self.members.values().filter_map(|m| m.account.as_ref());
-        accounts.filter_map(move |account| account.aged(now_ms))
+    /// Iterates over all digests that have not expired.
+    pub fn digests(&self, now_ms: u64) -> impl Iterator<Item = AgedDigest> {
+        let digests = self
+            .members
+            .values()
+            .filter_map(|member| member.received.as_ref());
+        digests.filter_map(move |received| received.aged(now_ms))
     }
 
-    /// Forgets who is not listed and has been silent for long.
-    pub fn forget_old(&mut self, now_ms: u64) {
+    /// Removes the members that are not listed and whose digest has expired.
+    pub fn evict_expired(&mut self, now_ms: u64) {
         self.members.retain(|_, member| {
-            let is_young = member
+            let is_fresh = member
                 .age_ms(now_ms)
                 .is_some_and(|age| age <= DIGEST_EXPIRY_MS);
-            member.listed.is_some() || is_young
+            member.listed.is_some() || is_fresh
         });
     }
 
@@ -265,12 +275,12 @@
         entry.or_insert(Member {
             listed: None,
             listed_since_ms: now_ms,
-            account: None,
+            received: None,
         })
     }
 }
 
-impl Account {
+impl ReceivedDigest {
     fn add_holder(&mut self, holder: &InstanceName) {
         if !self.holders.contains(holder) {
             self.holders.push(holder.clone());
@@ -286,10 +296,11 @@
     }
 }
 
-/// Returns a version that is newer than `seen`, for a run that takes over a name.
-pub fn ahead_of(seen: Version, incarnation: Incarnation) -> Version {
+/// Returns a version that is newer than `old`, for an incarnation that takes over a
+/// name.
+pub fn version_after(old: Version, incarnation: Incarnation) -> Version {
     Version {
-        generation: seen.generation.saturating_add(1),
+        generation: old.generation.saturating_add(1),
         incarnation,
         seq: 0,
     }
--- a/crates/core/src/topology.rs
+++ b/crates/core/src/topology.rs
@@ -1,10 +1,10 @@
-//! Who talks to whom: neighbours, shard homes and ranks, computed alike by every
-//! instance from names alone.
+//! Neighbours, shard homes and ranks, which every instance computes identically
+//! from names alone.
 //!
 //! Neighbours are the successor and predecessor on each of [`RINGS`] rings. A
-//! ring orders the instances of a zone by a hash of ring and name, so one that
-//! leaves changes the neighbours of the two beside it on each ring and of nobody
-//! else. Homes and ranks are rendezvous hashes.
+//! ring orders the instances of a zone by a hash of ring and name, so an instance
+//! that leaves changes only the neighbours of its two adjacent instances on each
+//! ring. Homes and ranks use rendezvous hashing.
 
 use std::cmp::Reverse;
 
@@ -12,16 +12,16 @@
 
 use crate::ids::{InstanceName, WorkspaceName, ZoneName};
 
-/// Rings on which an instance has a successor and a predecessor.
+/// Number of rings on which an instance has a successor and a predecessor.
 pub const RINGS: u64 = 3;
-/// Shards into which workspaces and claims are divided.
+/// Number of shards of the workspaces.
 pub const SHARDS: u8 = 16;
 
 const RING_SEED: u64 = 0x0100;
 const SHARD_SEED: u64 = 0x0200;
 const ZONE_SEED: u64 = 0x0300;
 
-/// A part of the workspaces that has one home in each zone.
+/// Shard of the workspaces, with one home in each zone.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
@@ -45,7 +45,7 @@
     }
 }
 
-/// What instances of a zone are ranked for.
+/// Duty for which the instances of a zone are ranked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Duty<'a> {
     /// Being the home of a shard.
@@ -56,7 +56,7 @@
     Checkpoint,
     /// Placing models.
     Placer,
-    /// Keeping requests that end backend servers on the log.
+    /// Persisting requests that crash backend servers on the log.
     Quarantine,
     /// Sending the zone's digest to another zone.
     ZoneLink(&'a ZoneName),
@@ -75,55 +75,60 @@
     }
 }
 
-fn weight(seed: u64, name: &str) -> u64 {
+fn rank_weight(seed: u64, name: &str) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), seed)
 }
 
-/// Returns the neighbours of `me` among the members of its zone, sorted by name.
+/// Returns the neighbours of `own_name` among the members of its zone, sorted by name.
 /// The relation is symmetric: each is a neighbour of the other.
 pub fn neighbours<'a>(
-    me: &InstanceName,
+    own_name: &InstanceName,
     members: impl Iterator<Item = &'a InstanceName> + Clone,
 ) -> Vec<&'a InstanceName> {
-    let mut chosen = Vec::with_capacity(2 * RINGS as usize);
+    let mut found = Vec::with_capacity(2 * RINGS as usize);
     for ring in 0..RINGS {
         let seed = RING_SEED + ring;
-        let mine = weight(seed, me.as_str());
-        let others = members.clone().filter(|name| *name != me);
-        let ahead = |name: &&InstanceName| weight(seed, name.as_str()).wrapping_sub(mine);
-        chosen.extend(others.clone().min_by_key(|name| (ahead(name), *name)));
-        chosen.extend(others.max_by_key(|name| (ahead(name), *name)));
+        let own_weight = rank_weight(seed, own_name.as_str());
+        let others = members.clone().filter(|name| *name != own_name);
+        let ring_distance =
+            |name: &&InstanceName| rank_weight(seed, name.as_str()).wrapping_sub(own_weight);
+        found.extend(
+            others
+                .clone()
+                .min_by_key(|name| (ring_distance(name), *name)),
+        );
+        found.extend(others.max_by_key(|name| (ring_distance(name), *name)));
     }
-    chosen.sort_unstable();
-    chosen.dedup();
-    chosen
+    found.sort_unstable();
+    found.dedup();
+    found
 }
 
-/// Returns the member that ranks first for a duty.
+/// Returns the member with the highest rank for a duty.
 pub fn highest_ranked<'a>(
     duty: Duty<'_>,
     members: impl Iterator<Item = &'a InstanceName>,
 ) -> Option<&'a InstanceName> {
     let seed = duty.seed();
-    members.max_by_key(|name| (weight(seed, name.as_str()), Reverse(*name)))
+    members.max_by_key(|name| (rank_weight(seed, name.as_str()), Reverse(*name)))
 }
 
-/// Returns the members in the order in which a duty falls to them.
+/// Returns the members in descending order of rank for a duty.
 pub fn ranked<'a>(
     duty: Duty<'_>,
     members: impl Iterator<Item = &'a InstanceName>,
 ) -> Vec<&'a InstanceName> {
     let seed = duty.seed();
     let mut order: Vec<_> = members.collect();
-    order.sort_by_cached_key(|name| (Reverse(weight(seed, name.as_str())), *name));
+    order.sort_by_cached_key(|name| (Reverse(rank_weight(seed, name.as_str())), *name));
     order
 }
 
-/// Returns the zone whose homes divide a shard's quotas among the zones.
+/// Returns the zone whose home divides a shard's quotas among the zones.
 pub fn lead_zone<'a>(
     shard: Shard,
     zones: impl Iterator<Item = &'a ZoneName>,
 ) -> Option<&'a ZoneName> {
     let seed = SHARD_SEED + u64::from(shard.0);
-    zones.max_by_key(|zone| (weight(seed, zone.as_str()), Reverse(*zone)))
+    zones.max_by_key(|zone| (rank_weight(seed, zone.as_str()), Reverse(*zone)))
 }
