--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -19,7 +19,7 @@
 pub use self::{
     checkpoint::{Assembler, Assembly, CheckpointItem, CheckpointPart, MAX_PART_BYTES, PartFault},
     confirm::{AppendResult, Confirm, ConfirmOutcome, ConfirmStep, READ_BACK_MS},
-    event::{Action, Content, Duties, Event, Ignored, Progress, Received, Snapshot, Source},
+    event::{Action, Content, Duties, Event, IgnoredCounts, Progress, Received, Snapshot, Source},
     follower::{Follower, FollowerSettings, READ_WAIT_MS, TICK_MS},
     head::Head,
     plan::{MAX_CHANGE_BYTES, PlanError, change_id},
@@ -28,6 +28,6 @@
         Fault, MAX_DEADLINE_MS, MAX_PIPELINES_PER_WORKSPACE, MAX_REPLICAS, MAX_SLOTS, MAX_STAGES,
         MAX_WEIGHT, Violation,
     },
-    state::{MAX_REASONS, REMEMBERED_OFFSETS, State},
+    state::{MAX_REASONS, RETAINED_OFFSETS, State},
     verdict::{Applied, HistoryEntry, InvalidReason, Verdict},
 };
--- a/crates/core/src/config/event.rs
+++ b/crates/core/src/config/event.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Duties {
     /// Whether it follows the log for its zone.
-    pub tails: bool,
+    pub follows_log: bool,
     /// Its rank for writing checkpoints, 0 for the first.
     pub checkpoint_rank: u64,
 }
@@ -74,8 +74,8 @@
         records: Vec<Received>,
     },
     /// Another instance reported its state's next offset.
-    PeerAt(Offset),
-    /// Answer to [`Action::AskPeer`]; `None` when records came, or nothing.
+    PeerOffset(Offset),
+    /// Answer to [`Action::QueryPeer`]; `None` when records came, or nothing.
     Snapshot(Option<Box<Snapshot>>),
     /// [`Action::WriteCheckpoint`] ended, whether it failed or not.
     CheckpointWritten,
@@ -102,7 +102,7 @@
     /// records from an offset on, or for its state when it keeps them no more.
     /// Answer with [`Event::Relayed`] if there were records, and in any case
     /// with [`Event::Snapshot`].
-    AskPeer {
+    QueryPeer {
         /// First offset wanted; `None` to ask for the state at once.
         from: Option<Offset>,
     },
@@ -140,7 +140,7 @@
 
 /// What was ignored or missing so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ignored {
+pub struct IgnoredCounts {
     /// Parts and checkpoints that were wrong or incomplete.
     pub checkpoints: u64,
     /// States of peers that were not newer than the own one.
--- a/crates/core/src/config/follower.rs
+++ b/crates/core/src/config/follower.rs
@@ -6,8 +6,8 @@
 
 use crate::{
     config::{
-        Action, Applied, Assembler, Assembly, ConfigRecord, Content, Duties, Event, Head, Ignored,
-        Progress, Received, Snapshot, Source, State,
+        Action, Applied, Assembler, Assembly, ConfigRecord, Content, Duties, Event, Head,
+        IgnoredCounts, Progress, Received, Snapshot, Source, State,
         head::{HeadWatch, before},
         reader::{READ_RETRY_MS, Reader, Slot},
         recent::{Recent, without_items},
@@ -60,7 +60,7 @@
     snapshot: Slot,
     schedule: Schedule,
     recent: Recent,
-    ignored: Ignored,
+    ignored: IgnoredCounts,
     silence_limit_ms: u64,
     rng: Pcg64Mcg,
 }
@@ -75,7 +75,7 @@
             has_started: false,
             created_ms: None,
             duties: Duties {
-                tails: true,
+                follows_log: true,
                 checkpoint_rank: u64::MAX,
             },
             reader: Reader::default(),
@@ -84,7 +84,7 @@
             snapshot: Slot::default(),
             schedule: Schedule::new(settings.retention_ms, &mut rng),
             recent: Recent::default(),
-            ignored: Ignored::default(),
+            ignored: IgnoredCounts::default(),
             silence_limit_ms,
             rng,
         }
@@ -118,8 +118,8 @@
     }
 
     /// Returns what was ignored so far.
-    pub fn ignored(&self) -> Ignored {
-        Ignored {
+    pub fn ignored(&self) -> IgnoredCounts {
+        IgnoredCounts {
             checkpoints: self.assembler.ignored(),
             ..self.ignored
         }
@@ -143,7 +143,7 @@
                 self.heads.hear_peer(now_ms, head);
                 self.on_relayed(now_ms, records, &mut actions);
             }
-            Event::PeerAt(next) => self.heads.hint(next),
+            Event::PeerOffset(next) => self.heads.hint(next),
             Event::Snapshot(snapshot) => self.on_snapshot(now_ms, snapshot, &mut actions),
             Event::CheckpointWritten => self.schedule.finish_write(now_ms),
         }
@@ -359,7 +359,7 @@
         let is_silent = self.is_log_silent(now_ms);
         let behind_ms = self.heads.behind_ms(now_ms);
         let is_behind = behind_ms.is_some_and(|ms| ms >= BEHIND_READ_MS);
-        let is_wanted = self.duties.tails || !self.has_started || is_behind || is_silent;
+        let is_wanted = self.duties.follows_log || !self.has_started || is_behind || is_silent;
         if is_wanted && self.reader.slot.take(now_ms) {
             self.reader.cursor = self.reader.cursor.max(self.state.next());
             actions.push(Action::Read {
@@ -383,7 +383,7 @@
         let is_needed = needs_start || is_behind || self.reader.is_stuck;
         if is_needed && self.snapshot.take(now_ms) {
             let from = self.has_started.then_some(self.state.next());
-            actions.push(Action::AskPeer { from });
+            actions.push(Action::QueryPeer { from });
         }
     }
 
--- a/crates/core/src/config/state.rs
+++ b/crates/core/src/config/state.rs
@@ -19,7 +19,7 @@
 /// Offsets back for which the state remembers what changed and which changes
 /// were decided. A change whose base is older is rejected, so forgetting never
 /// alters a verdict.
-pub const REMEMBERED_OFFSETS: u64 = 4_096;
+pub const RETAINED_OFFSETS: u64 = 4_096;
 /// Most keys or reasons that a verdict names.
 pub const MAX_REASONS: usize = 8;
 
@@ -137,7 +137,7 @@
         self.store.objects()
     }
 
-    /// Iterates over the decided changes of the last [`REMEMBERED_OFFSETS`]
+    /// Iterates over the decided changes of the last [`RETAINED_OFFSETS`]
     /// offsets, newest first.
     pub fn history(&self) -> impl ExactSizeIterator<Item = &HistoryEntry> {
         self.history.iter().rev()
@@ -308,7 +308,7 @@
 
 /// Returns the oldest offset that the state at `next` remembers.
 fn remembered_from(next: Offset) -> Offset {
-    Offset(next.0.saturating_sub(REMEMBERED_OFFSETS))
+    Offset(next.0.saturating_sub(RETAINED_OFFSETS))
 }
 
 /// Finds what no plan could have produced; such a record leaves no trace, so
--- a/crates/core/tests/config_fixtures/world.rs
+++ b/crates/core/tests/config_fixtures/world.rs
@@ -144,7 +144,7 @@
             .collect();
         for (rank, node) in live.into_iter().enumerate() {
             let duties = Duties {
-                tails: rank < TAILERS,
+                follows_log: rank < TAILERS,
                 checkpoint_rank: rank as u64,
             };
             self.after(0, node, Task::Event(Event::Duties(duties)));
@@ -230,7 +230,7 @@
             Task::Report => {
                 self.after(PEER_REPORT_MS, node, Task::Report);
                 let next = self.nodes[node].follower.state().next();
-                self.send_neighbours(node, &Event::PeerAt(next));
+                self.send_neighbours(node, &Event::PeerOffset(next));
             }
             Task::Event(event) => self.event(node, event),
             Task::ServeRead => self.serve_read(node),
@@ -271,7 +271,7 @@
             Action::Relay { head, records } => {
                 self.send_neighbours(node, &Event::Relayed { head, records });
             }
-            Action::AskPeer { from } => self.ask_peer(node, from),
+            Action::QueryPeer { from } => self.ask_peer(node, from),
             Action::WriteCheckpoint(parts) => {
                 let parts = parts.into_iter().map(ConfigRecord::Checkpoint).collect();
                 self.after(LINK_MS, node, Task::AppendParts(parts));
--- a/crates/core/tests/config_state.rs
+++ b/crates/core/tests/config_state.rs
@@ -8,7 +8,7 @@
     change::{ChangeOp, Intent},
     config::{
         Applied, Assembler, Assembly, ConfigRecord, Fault, InvalidReason, MAX_PART_BYTES,
-        PartFault, PlanError, REMEMBERED_OFFSETS, State, Verdict, Violation,
+        PartFault, PlanError, RETAINED_OFFSETS, State, Verdict, Violation,
     },
     ids::Offset,
     objects::{Object, ObjectKind, StageKind},
@@ -157,7 +157,7 @@
 fn a_base_out_of_memory_is_rejected_as_too_old() {
     let mut state = small_state();
     let base = state.next().0;
-    while state.next().0 < base + REMEMBERED_OFFSETS {
+    while state.next().0 < base + RETAINED_OFFSETS {
         state.apply_undecodable(state.next());
     }
     let mut at_edge = state.clone();
--- a/crates/server/src/configuration.rs
+++ b/crates/server/src/configuration.rs
@@ -5,7 +5,9 @@
 
 use arc_swap::ArcSwap;
 use savoryvane_core::{
-    config::{Action, Event, Follower, FollowerSettings, Head, Ignored, Progress, Received, State},
+    config::{
+        Action, Event, Follower, FollowerSettings, Head, IgnoredCounts, Progress, Received, State,
+    },
     fleet::Fleet,
     ids::Offset,
 };
@@ -58,7 +60,7 @@
     }
 
     /// Returns what the follower has ignored.
-    pub(crate) fn ignored(&self) -> Ignored {
+    pub(crate) fn ignored(&self) -> IgnoredCounts {
         self.lock().ignored()
     }
 
--- a/crates/server/src/follower.rs
+++ b/crates/server/src/follower.rs
@@ -71,7 +71,7 @@
 
 fn act(shared: &Shared, action: Action) {
     match action {
-        Action::Read { .. } | Action::AskPeer { .. } | Action::WriteCheckpoint(_) => {
+        Action::Read { .. } | Action::QueryPeer { .. } | Action::WriteCheckpoint(_) => {
             shared.configuration.ask(action);
         }
         Action::Relay { head, records } => relay::send(shared, head, &records),
@@ -95,7 +95,7 @@
 async fn perform(shared: Arc<Shared>, action: Action) -> Option<Event> {
     match action {
         Action::Read { from, wait_ms } => Some(read(&shared, from, wait_ms).await),
-        Action::AskPeer { from } => {
+        Action::QueryPeer { from } => {
             let snapshot = snapshot::ask_peers(&shared, from).await;
             Some(Event::Snapshot(snapshot.map(Box::new)))
         }
@@ -180,7 +180,7 @@
     let (duties, newest) = {
         let membership = shared.members.membership();
         let duties = Duties {
-            tails: membership.rank(Duty::ConfigTail) < TAILERS,
+            follows_log: membership.rank(Duty::ConfigTail) < TAILERS,
             checkpoint_rank,
         };
         let members = membership.members(shared.clock.now_ms());
@@ -194,7 +194,7 @@
     };
     apply(shared, Event::Duties(duties));
     if let Some(newest) = newest {
-        apply(shared, Event::PeerAt(newest));
+        apply(shared, Event::PeerOffset(newest));
     }
 }
 
