--- a/crates/core/src/change.rs
+++ b/crates/core/src/change.rs
@@ -1,4 +1,4 @@
-//! Intents, plans and the changes that a confirmed plan appends to the log.
+//! Intents, plans, and the changes that confirmed plans append to the log.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,8 +7,8 @@
     objects::{Backend, Model, Object, ObjectKey, Pipeline, Pool, Workspace},
 };
 
-/// What an operator wants, as the intent file states it. Objects that are not
-/// named stay as they are.
+/// Desired configuration as stated in an intent file. Objects that are not named are
+/// left unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Intent {
@@ -26,7 +26,7 @@
     pub remove: Vec<ObjectKey>,
 }
 
-/// One step of a change.
+/// A step of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeOp {
@@ -37,7 +37,7 @@
 }
 
 impl ChangeOp {
-    /// Returns the key of the object that the step touches.
+    /// Returns the key of the object that the step changes.
     pub fn key(&self) -> ObjectKey {
         match self {
             Self::Put(object) => object.key(),
@@ -46,28 +46,28 @@
     }
 }
 
-/// A change of configuration, made against the state at `base`.
+/// A change of the configuration, planned against the state at `base`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Identifier; a repeated append of the same change is harmless.
+    /// Identifier, which makes repeated appends of the same change harmless.
     pub id: ChangeId,
-    /// Next offset that the state had seen nothing of when the plan was made.
+    /// Next offset of the state that the plan was made against.
     pub base: Offset,
     /// Operator who confirmed it.
     pub operator: OperatorName,
-    /// Steps, applied together or not at all.
+    /// Steps, which are applied atomically.
     pub ops: Vec<ChangeOp>,
 }
 
-/// What an intent would do; nothing is in force before it is confirmed.
+/// Effect of an intent. Nothing takes effect before the plan is confirmed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Change that a confirm appends to the log.
+    /// Change that the confirmation appends to the log.
     pub change: Change,
     /// The difference, one line for each object that would change.
     pub summary: Vec<String>,
-    /// Moves of models that would follow, one line each.
+    /// Model moves that would follow, one line for each.
     pub moves: Vec<String>,
-    /// What the operator should know before confirming.
+    /// Warnings for the operator, to be read before confirming.
     pub warnings: Vec<String>,
 }
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,5 +1,5 @@
-//! Configuration: one stream of records on the platform's log, applied in
-//! offset order by one deterministic rule.
+//! Configuration as a stream of records on the platform's log, which every instance
+//! applies in offset order by the same deterministic rule.
 
 mod checkpoint;
 mod confirm;
--- a/crates/core/src/config/checkpoint.rs
+++ b/crates/core/src/config/checkpoint.rs
@@ -1,5 +1,5 @@
-//! Checkpoints: the whole state, written to the stream again in parts before
-//! the records that it came from expire.
+//! Checkpoints: the complete state, written to the stream in parts before the
+//! records that it was built from expire.
 
 use std::collections::BTreeMap;
 
@@ -12,15 +12,15 @@
     objects::{Object, ObjectKey},
 };
 
-/// Largest part, as JSON, in bytes.
+/// Maximum size of a part as JSON, in bytes.
 pub const MAX_PART_BYTES: usize = 256 * 1024;
 
-/// Room in a part for everything but its items.
-const PART_FRAME_BYTES: usize = 1024;
-/// Most parts of a checkpoint.
+/// Size reserved in a part for all fields other than its items, in bytes.
+const PART_OVERHEAD_BYTES: usize = 1024;
+/// Maximum number of parts of a checkpoint.
 const MAX_PARTS: u32 = 1_024;
-/// Most checkpoints that are put together at the same time.
-const MAX_OPEN: usize = 4;
+/// Maximum number of checkpoints that are assembled at the same time.
+const MAX_ASSEMBLED: usize = 4;
 
 /// One entry of a checkpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -28,7 +28,7 @@
 pub enum CheckpointItem {
     /// An object in force.
     Object(Object),
-    /// The last change of an object, which may be gone.
+    /// The last change of an object, which may have been removed.
     Changed {
         /// Object that was changed.
         key: ObjectKey,
@@ -56,7 +56,7 @@
 }
 
 impl CheckpointPart {
-    /// Tells whether this is the last part by its index.
+    /// Returns whether this is the last part by its index.
     pub fn is_last(&self) -> bool {
         self.index.checked_add(1) == Some(self.count)
     }
@@ -68,15 +68,15 @@
     ///
     /// # Panics
     ///
-    /// Panics when there are 2^32 parts or more, which no log could keep.
+    /// Panics if there are 2^32 parts or more, which no log could store.
     pub fn checkpoint(&self) -> Vec<CheckpointPart> {
         let mut groups = vec![Vec::new()];
-        let mut bytes = PART_FRAME_BYTES;
+        let mut bytes = PART_OVERHEAD_BYTES;
         for item in self.checkpoint_items() {
             let item_bytes = to_json(&item).len() + 1;
             if bytes + item_bytes > MAX_PART_BYTES {
                 groups.push(Vec::new());
-                bytes = PART_FRAME_BYTES;
+                bytes = PART_OVERHEAD_BYTES;
             }
             bytes += item_bytes;
             groups.last_mut().expect("never empty").push(item);
@@ -105,36 +105,37 @@
     hex::encode(hasher.finalize())
 }
 
-/// Why a part or a complete checkpoint is of no use.
+/// Reason why a part or an assembled checkpoint is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartFault {
-    /// Index or count is out of range.
+    /// The index or the count is out of range.
     BadIndex,
-    /// It claims to cover offsets after its own.
+    /// The part claims to cover offsets after its own.
     CoversAhead,
-    /// It disagrees with an earlier part of the same checkpoint.
+    /// The part conflicts with an earlier part of the same checkpoint.
     Mismatch,
-    /// All parts are there, but the digest is another one.
+    /// All parts arrived, but their digest differs from the stated one.
     BadDigest,
-    /// The digest is right, but the entries are no valid state.
+    /// The digest is correct, but the entries are not a valid state.
     BadState,
 }
 
-/// What [`Assembler::add`] made of a part.
+/// Result of [`Assembler::add`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Assembly {
-    /// More parts have to come.
+    /// Parts are missing.
     Incomplete,
-    /// The checkpoint is complete and right.
+    /// The checkpoint is complete and valid.
     Complete(Box<State>),
     /// The part, or the checkpoint that it completes, is ignored.
     Ignored(PartFault),
 }
 
-/// Puts parts together again, of several writers at the same time.
+/// Assembles checkpoints from parts, which may come from several writers at the same
+/// time.
 #[derive(Clone, Debug, Default)]
 pub struct Assembler {
-    open: BTreeMap<(Offset, String), Vec<Option<CheckpointPart>>>,
+    incomplete: BTreeMap<(Offset, String), Vec<Option<CheckpointPart>>>,
     ignored: u64,
 }
 
@@ -144,7 +145,7 @@
         Self::default()
     }
 
-    /// Returns how many parts or checkpoints were ignored as wrong.
+    /// Returns the number of parts and checkpoints that were ignored.
     pub fn ignored(&self) -> u64 {
         self.ignored
     }
@@ -168,34 +169,34 @@
         let (covers, count) = (part.covers, part.count as usize);
         let id = (covers, part.digest.clone());
         let slots = self
-            .open
+            .incomplete
             .entry(id.clone())
             .or_insert_with(|| vec![None; count]);
         let Some(slot) = slots.get_mut(part.index as usize) else {
             return Assembly::Ignored(PartFault::Mismatch);
         };
-        if slot.as_ref().is_some_and(|old| *old != part) {
+        if slot.as_ref().is_some_and(|existing| *existing != part) {
             return Assembly::Ignored(PartFault::Mismatch);
         }
         *slot = Some(part);
         if !slots.iter().all(Option::is_some) {
-            self.drop_oldest();
+            self.evict_oldest();
             return Assembly::Incomplete;
         }
-        let slots = self.open.remove(&id).unwrap_or_default();
+        let slots = self.incomplete.remove(&id).unwrap_or_default();
         let parts: Vec<_> = slots.into_iter().flatten().collect();
-        complete(covers, &id.1, &parts)
+        finish_assembly(covers, &id.1, &parts)
     }
 
-    fn drop_oldest(&mut self) {
-        while self.open.len() > MAX_OPEN {
-            self.open.pop_first();
+    fn evict_oldest(&mut self) {
+        while self.incomplete.len() > MAX_ASSEMBLED {
+            self.incomplete.pop_first();
             self.ignored += 1;
         }
     }
 }
 
-fn complete(covers: Offset, expected: &str, parts: &[CheckpointPart]) -> Assembly {
+fn finish_assembly(covers: Offset, expected: &str, parts: &[CheckpointPart]) -> Assembly {
     if digest(covers, parts.iter().flat_map(|part| &part.items)) != expected {
         return Assembly::Ignored(PartFault::BadDigest);
     }
--- a/crates/core/src/config/confirm.rs
+++ b/crates/core/src/config/confirm.rs
@@ -1,4 +1,5 @@
-//! Confirming a plan: appended, then decided from the record read back.
+//! Confirmation of a plan. The change is appended and then decided from the record
+//! that is read back.
 
 use crate::{
     change::Change,
@@ -7,24 +8,24 @@
     objects::ObjectKey,
 };
 
-/// Time for an appended change to be read back before it is appended again,
-/// which is harmless, in ms.
+/// Time to wait for an appended change to be read back before it is appended again,
+/// in ms. Repeated appends are harmless.
 pub const READ_BACK_MS: u64 = 1_500;
 /// Pause after a refused append, in ms.
 const APPEND_RETRY_MS: u64 = 200;
 
-/// What came of an append.
+/// Result of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendResult {
-    /// The log answered with an offset.
+    /// The log returned an offset.
     Appended,
-    /// The log was not reached or refused; nothing took effect.
+    /// The log was unreachable or refused the append, which had no effect.
     Refused,
-    /// The answer was lost; it may have taken effect.
+    /// The response was lost, and the append may have taken effect.
     Unanswered,
 }
 
-/// How a confirm ended.
+/// Outcome of a confirmation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfirmOutcome {
     /// The change is in force from `offset` on.
@@ -32,57 +33,57 @@
         /// Offset of its record.
         offset: Offset,
     },
-    /// Another change came first.
+    /// A conflicting change was applied first.
     Conflict {
-        /// Offset of its record.
+        /// Offset of the rejected record.
         offset: Offset,
-        /// The first objects that were changed in between.
+        /// The first objects that were changed in between, limited in number.
         touched: Vec<ObjectKey>,
     },
     /// The change or its result is not valid.
     Invalid {
-        /// The first reasons.
+        /// The first reasons, limited in number.
         reasons: Vec<InvalidReason>,
     },
     /// The plan is too old.
     TooOld,
-    /// The log could not be reached; the change was not appended.
+    /// The log could not be reached, and the change was not appended.
     NotAppended,
-    /// The change may be on the log, but was not read back in time. Confirming
-    /// the same plan again is harmless and tells.
+    /// The change may be on the log, but was not read back in time. Confirming the
+    /// same plan again is harmless and returns its outcome.
     Undecided,
 }
 
-/// What a confirm waits for or wants done.
+/// Next step of a confirmation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfirmStep {
-    /// Append the change and report the result by [`Confirm::on_append`].
+    /// Append the change and pass the result to [`Confirm::on_append`].
     Append,
-    /// Ask again by [`Confirm::poll`] when the state has advanced, at this
-    /// time at the latest.
+    /// Call [`Confirm::poll`] again when the state has advanced, but no later than
+    /// this time, in ms.
     WaitUntil(u64),
-    /// It is over.
+    /// The confirmation has ended.
     Done(ConfirmOutcome),
 }
 
-/// Carries one confirm to its end.
+/// State machine of one confirmation.
 #[derive(Clone, Debug)]
 pub struct Confirm {
     change: Change,
     deadline_ms: u64,
     is_appending: bool,
-    append_at_ms: u64,
+    next_append_at_ms: u64,
     may_be_appended: bool,
 }
 
 impl Confirm {
-    /// Starts confirming `change`, to be over at `deadline_ms`.
+    /// Starts the confirmation of `change`, which ends at `deadline_ms` at the latest.
     pub fn new(change: Change, deadline_ms: u64) -> Self {
         Self {
             change,
             deadline_ms,
             is_appending: false,
-            append_at_ms: 0,
+            next_append_at_ms: 0,
             may_be_appended: false,
         }
     }
@@ -92,7 +93,7 @@
         &self.change
     }
 
-    /// Notes what came of the append.
+    /// Handles the result of the append.
     pub fn on_append(&mut self, now_ms: u64, result: AppendResult) {
         self.is_appending = false;
         let pause_ms = match result {
@@ -102,12 +103,12 @@
             }
             AppendResult::Refused => APPEND_RETRY_MS,
         };
-        self.append_at_ms = now_ms + pause_ms;
+        self.next_append_at_ms = now_ms + pause_ms;
     }
 
-    /// Decides by `state` what comes next.
+    /// Returns the next step according to `state`.
     pub fn poll(&mut self, now_ms: u64, state: &State) -> ConfirmStep {
-        if let Some(reason) = unfit(&self.change) {
+        if let Some(reason) = find_defect(&self.change) {
             let reasons = vec![reason];
             return ConfirmStep::Done(ConfirmOutcome::Invalid { reasons });
         }
@@ -120,11 +121,11 @@
         if self.is_appending {
             return ConfirmStep::WaitUntil(self.deadline_ms);
         }
-        if now_ms >= self.append_at_ms {
+        if now_ms >= self.next_append_at_ms {
             self.is_appending = true;
             return ConfirmStep::Append;
         }
-        ConfirmStep::WaitUntil(self.append_at_ms.min(self.deadline_ms))
+        ConfirmStep::WaitUntil(self.next_append_at_ms.min(self.deadline_ms))
     }
 
     fn give_up(&self) -> ConfirmOutcome {
@@ -136,7 +137,7 @@
     }
 }
 
-fn unfit(change: &Change) -> Option<InvalidReason> {
+fn find_defect(change: &Change) -> Option<InvalidReason> {
     let id = change_id(change.base, &change.operator, &change.ops);
     if id != change.id {
         return Some(InvalidReason::IdMismatch);
--- a/crates/core/src/config/event.rs
+++ b/crates/core/src/config/event.rs
@@ -1,11 +1,11 @@
-//! What happens to a follower, and what it wants done.
+//! Events and actions of a follower.
 
 use crate::{
     config::{Applied, CheckpointPart, ConfigRecord, Head, State},
     ids::{ChangeId, Offset, OperatorName},
 };
 
-/// Content of a record as it arrived.
+/// Content of a received record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Content {
     /// The payload was decoded.
@@ -14,102 +14,103 @@
     Undecodable,
 }
 
-/// A record of the stream with its position.
+/// A received record of the stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Received {
     /// Offset of the record.
     pub offset: Offset,
     /// Time since its append, in ms.
     pub age_ms: u64,
-    /// What it carries.
+    /// Content of the record.
     pub content: Content,
 }
 
-/// A peer's state.
+/// State of a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
     /// The state.
     pub state: State,
-    /// Time since the peer knew that it was the newest, in ms.
+    /// Time since the peer's state was last known to be the newest, in ms.
     pub age_ms: Option<u64>,
 }
 
-/// What an instance has to do for others.
+/// Duties of an instance for others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Duties {
-    /// Whether it follows the log for its zone.
+    /// Whether the instance reads the log for its zone.
     pub follows_log: bool,
-    /// Its rank for writing checkpoints, 0 for the first.
+    /// Rank for writing checkpoints, 0 for the first.
     pub checkpoint_rank: u64,
 }
 
-/// What happens to a follower.
+/// Input of a follower.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time has passed.
     Tick,
     /// The duties changed.
     Duties(Duties),
-    /// Answer to [`Action::Read`].
+    /// Response to [`Action::Read`].
     Read {
-        /// Oldest offset that the log keeps.
+        /// Oldest offset that the log retains.
         first: Offset,
         /// Offset that the next append will get.
         next: Offset,
-        /// Records from the asked offset on.
+        /// Records from the requested offset on.
         records: Vec<Received>,
     },
-    /// Answer to [`Action::Read`]: the asked offset is no longer kept.
+    /// Response to [`Action::Read`]: the requested offset is no longer retained.
     Trimmed {
-        /// Oldest offset that the log keeps.
+        /// Oldest offset that the log retains.
         first: Offset,
     },
     /// [`Action::Read`] failed.
     ReadFailed,
-    /// A peer passed on the head, with records or without.
+    /// A peer relayed the head, with or without records.
     Relayed {
         /// Head of the stream.
         head: Head,
         /// Records in order.
         records: Vec<Received>,
     },
-    /// Another instance reported its state's next offset.
+    /// Another instance reported the next offset of its state.
     PeerOffset(Offset),
-    /// Answer to [`Action::QueryPeer`]; `None` when records came, or nothing.
+    /// Response to [`Action::QueryPeer`]; `None` if the peer sent records instead or did
+    /// not respond.
     Snapshot(Option<Box<Snapshot>>),
-    /// [`Action::WriteCheckpoint`] ended, whether it failed or not.
+    /// [`Action::WriteCheckpoint`] ended, successfully or not.
     CheckpointWritten,
 }
 
-/// What a follower wants done.
+/// Output of a follower.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Read the log and answer with exactly one of the read events.
+    /// Read the log and respond with exactly one of the read events.
     Read {
-        /// First offset wanted.
+        /// First offset to read.
         from: Offset,
         /// Time to wait for a record, in ms.
         wait_ms: u64,
     },
-    /// Pass the head, and the records if any, to the neighbours.
+    /// Relay the head and the records, if any, to the neighbours.
     Relay {
         /// Head of the stream.
         head: Head,
-        /// Records in order; parts of checkpoints come without items.
+        /// Records in order. Parts of checkpoints contain no items.
         records: Vec<Received>,
     },
-    /// Ask a peer, best the one that reported the highest offset, for the
-    /// records from an offset on, or for its state when it keeps them no more.
-    /// Answer with [`Event::Relayed`] if there were records, and in any case
-    /// with [`Event::Snapshot`].
+    /// Request the records from an offset on from a peer, preferably the one that
+    /// reported the highest offset, or its state if it no longer retains them. Respond
+    /// with [`Event::Relayed`] if there were records, and in any case with
+    /// [`Event::Snapshot`].
     QueryPeer {
-        /// First offset wanted; `None` to ask for the state at once.
+        /// First offset to request; `None` to request the state.
         from: Option<Offset>,
     },
-    /// Append the parts one after another and answer with
+    /// Append the parts one after another and respond with
     /// [`Event::CheckpointWritten`].
     WriteCheckpoint(Vec<CheckpointPart>),
-    /// Log how a change was decided.
+    /// Log the decision on a change.
     Decided {
         /// Offset of its record.
         offset: Offset,
@@ -117,19 +118,19 @@
         id: ChangeId,
         /// Operator who confirmed it.
         operator: OperatorName,
-        /// What was done.
+        /// Result of applying the record.
         applied: Applied,
     },
-    /// Log that the state was taken over whole.
+    /// Log that a complete state was adopted.
     Adopted {
-        /// Where it came from.
+        /// Source of the state.
         source: Source,
-        /// Its next offset.
+        /// Next offset of the state.
         next: Offset,
     },
 }
 
-/// Where a whole state came from.
+/// Source of a complete state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// A checkpoint on the log.
@@ -138,31 +139,31 @@
     Peer,
 }
 
-/// What was ignored or missing so far.
+/// Counts of ignored or missing data so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct IgnoredCounts {
-    /// Parts and checkpoints that were wrong or incomplete.
+    /// Parts and checkpoints that were invalid or incomplete.
     pub checkpoints: u64,
-    /// States of peers that were not newer than the own one.
+    /// States of peers that were not newer than this instance's state.
     pub snapshots: u64,
-    /// Times that records were missing in a delivery.
+    /// Deliveries with missing records.
     pub gaps: u64,
     /// Records that could not be decoded.
     pub undecodable: u64,
 }
 
-/// How far a follower is.
+/// Progress of a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Progress {
-    /// Next offset of the own state.
+    /// Next offset of the follower's state.
     pub next: Offset,
-    /// Highest next offset known of.
+    /// Highest known next offset of the stream.
     pub known_next: Offset,
-    /// Time since the own state was known to be the newest, in ms; `None`
-    /// before it ever was.
+    /// Time since the follower's state was last known to be the newest, in ms; `None` if
+    /// it never was.
     pub age_ms: Option<u64>,
-    /// Whether it has a state to serve by.
+    /// Whether the follower has a state to serve with.
     pub has_started: bool,
-    /// Whether neither log nor checkpoint reaches the own state.
+    /// Whether neither the log nor a checkpoint continues the follower's state.
     pub is_cut_off: bool,
 }
--- a/crates/core/src/config/follower.rs
+++ b/crates/core/src/config/follower.rs
@@ -1,5 +1,5 @@
-//! Follows the configuration stream by the log, by relays of peers and by
-//! snapshots from peers, and never goes back.
+//! Follows the configuration stream by reading the log, by relays of peers and by
+//! snapshots of peers. The state never goes back to a lower offset.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -9,41 +9,43 @@
         Action, Applied, Assembler, Assembly, ConfigRecord, Content, Duties, Event, Head,
         IgnoredCounts, Progress, Received, Snapshot, Source, State,
         head::{HeadWatch, before},
-        reader::{READ_RETRY_MS, Reader, Slot},
-        recent::{Recent, without_items},
+        reader::{ExchangeSlot, READ_RETRY_MS, Reader},
+        recent::{RecentRecords, without_items},
         schedule::Schedule,
     },
     ids::Offset,
 };
 
-/// Time between two [`Event::Tick`]s, in ms.
+/// Time between two [`Event::Tick`] events, in ms.
 pub const TICK_MS: u64 = 100;
-/// Time that a read of the log waits for a record, in ms.
+/// Time for which a read of the log waits for a record, in ms.
 pub const READ_WAIT_MS: u64 = 500;
-/// Time without the stream's head after which an instance reads the log itself,
-/// in ms.
-const HEAD_SILENCE_MS: u64 = 1_500;
+/// Time without an update of the stream's head after which an instance reads the log
+/// itself, in ms.
+const HEAD_TIMEOUT_MS: u64 = 1_500;
 
-/// Most that is added to [`HEAD_SILENCE_MS`], so that not all read at once.
-const SILENCE_JITTER_MS: u64 = 300;
-/// Time that a head has to be fresher by to be passed on, in ms.
-const HEAD_STEP_MS: i64 = 200;
-/// Time for a new instance to start from the log before it asks a peer, in ms.
+/// Maximum jitter added to [`HEAD_TIMEOUT_MS`], in ms, so that instances do not all
+/// read at once.
+const HEAD_TIMEOUT_JITTER_MS: u64 = 300;
+/// Minimum time by which a head must be newer to be relayed, in ms.
+const MIN_HEAD_ADVANCE_MS: i64 = 200;
+/// Time for which a new instance tries to start from the log before it queries a peer,
+/// in ms.
 const START_TIMEOUT_MS: u64 = 500;
-/// Time known to be behind after which a peer is asked for its state, in ms.
-const BEHIND_ASK_MS: u64 = 600;
-/// Time known to be behind after which the log is read, so that records on
-/// their way through other peers can still arrive, in ms.
+/// Time known to be behind after which a peer is queried, in ms.
+const BEHIND_QUERY_MS: u64 = 600;
+/// Time known to be behind after which the log is read, in ms. Records in transit
+/// through peers can still arrive before.
 const BEHIND_READ_MS: u64 = 200;
-/// Pause between two questions to peers, in ms.
-const SNAPSHOT_RETRY_MS: u64 = 500;
+/// Minimum time between two queries to peers, in ms.
+const PEER_QUERY_INTERVAL_MS: u64 = 500;
 
 /// Settings of a follower.
 #[derive(Clone, Copy, Debug)]
 pub struct FollowerSettings {
-    /// Time for which the log keeps a record, in ms.
+    /// Time for which the log retains a record, in ms.
     pub retention_ms: u64,
-    /// Seed of its jitter.
+    /// Seed of the jitter.
     pub seed: u64,
 }
 
@@ -57,19 +59,19 @@
     reader: Reader,
     assembler: Assembler,
     heads: HeadWatch,
-    snapshot: Slot,
+    peer_query: ExchangeSlot,
     schedule: Schedule,
-    recent: Recent,
+    recent: RecentRecords,
     ignored: IgnoredCounts,
-    silence_limit_ms: u64,
+    head_timeout_ms: u64,
     rng: Pcg64Mcg,
 }
 
 impl Follower {
-    /// Creates a follower that knows nothing.
+    /// Creates a follower with an empty state.
     pub fn new(settings: FollowerSettings) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(settings.seed);
-        let silence_limit_ms = HEAD_SILENCE_MS + rng.random_range(0..=SILENCE_JITTER_MS);
+        let head_timeout_ms = HEAD_TIMEOUT_MS + rng.random_range(0..=HEAD_TIMEOUT_JITTER_MS);
         Self {
             state: State::new(),
             has_started: false,
@@ -81,11 +83,11 @@
             reader: Reader::default(),
             assembler: Assembler::new(),
             heads: HeadWatch::default(),
-            snapshot: Slot::default(),
+            peer_query: ExchangeSlot::default(),
             schedule: Schedule::new(settings.retention_ms, &mut rng),
-            recent: Recent::default(),
+            recent: RecentRecords::default(),
             ignored: IgnoredCounts::default(),
-            silence_limit_ms,
+            head_timeout_ms,
             rng,
         }
     }
@@ -95,7 +97,7 @@
         &self.state
     }
 
-    /// Returns how far it is.
+    /// Returns the progress of the follower.
     pub fn progress(&self, now_ms: u64) -> Progress {
         Progress {
             next: self.state.next(),
@@ -106,8 +108,8 @@
         }
     }
 
-    /// Copies the last records from `from` on, for a peer that missed them;
-    /// none when they are not all kept.
+    /// Returns the records from `from` on for a peer that missed them, or none if not all
+    /// of them are retained.
     pub fn recent(&self, now_ms: u64, from: Offset) -> Vec<Received> {
         self.recent.copy_from(now_ms, from)
     }
@@ -117,7 +119,7 @@
         self.heads.head(now_ms)
     }
 
-    /// Returns what was ignored so far.
+    /// Returns the counts of ignored or missing data.
     pub fn ignored(&self) -> IgnoredCounts {
         IgnoredCounts {
             checkpoints: self.assembler.ignored(),
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Takes an event and returns what has to be done.
+    /// Handles an event and returns the resulting actions.
     pub fn on_event(&mut self, now_ms: u64, event: Event) -> Vec<Action> {
         let created_ms = *self.created_ms.get_or_insert(now_ms);
         let mut actions = Vec::new();
@@ -140,17 +142,17 @@
             Event::Trimmed { first } => self.on_trimmed(now_ms, first),
             Event::ReadFailed => self.reader.on_failure(now_ms, &mut self.rng),
             Event::Relayed { head, records } => {
-                self.heads.hear_peer(now_ms, head);
+                self.heads.on_peer_head(now_ms, head);
                 self.on_relayed(now_ms, records, &mut actions);
             }
-            Event::PeerOffset(next) => self.heads.hint(next),
+            Event::PeerOffset(next) => self.heads.note_peer_offset(next),
             Event::Snapshot(snapshot) => self.on_snapshot(now_ms, snapshot, &mut actions),
             Event::CheckpointWritten => self.schedule.finish_write(now_ms),
         }
-        self.heads.compare(now_ms, self.state.next());
+        self.heads.update_lag(now_ms, self.state.next());
         self.relay_head(now_ms, &mut actions);
         self.read_log(now_ms, &mut actions);
-        self.ask_peer(now_ms, created_ms, &mut actions);
+        self.query_peer(now_ms, created_ms, &mut actions);
         self.write_checkpoint(now_ms, &mut actions);
         actions
     }
@@ -168,26 +170,27 @@
         records: Vec<Received>,
         actions: &mut Vec<Action>,
     ) {
-        self.reader.on_answer(now_ms, first);
+        self.reader.on_response(now_ms, first);
         let mut applied = Vec::new();
         for record in records {
             if record.offset <= self.state.next() {
                 self.verify_part(now_ms, &record);
                 self.apply(now_ms, record, &mut applied, actions);
-            } else if self.state.next() >= self.reader.first_kept {
+            } else if self.state.next() >= self.reader.first_retained {
                 self.ignored.gaps += 1;
-                self.reader.slot.release(now_ms + READ_RETRY_MS.0);
+                self.reader.slot.finish(now_ms + READ_RETRY_MS.0);
                 break;
             } else if self.scan(now_ms, record, actions) {
                 break;
             }
         }
-        self.heads.hear_log(now_ms, next);
+        self.heads.on_log_head(now_ms, next);
         self.has_started |= self.reader.finish(now_ms, self.state.next(), next);
         self.relay(now_ms, applied, actions);
     }
 
-    /// Looks for a checkpoint in a record that the own state does not reach.
+    /// Scans a record that does not continue the state for a checkpoint. Returns whether
+    /// a checkpoint was adopted.
     fn scan(&mut self, now_ms: u64, record: Received, actions: &mut Vec<Action>) -> bool {
         self.reader.cursor = record.offset.next();
         let Content::Record(ConfigRecord::Checkpoint(part)) = record.content else {
@@ -196,7 +199,7 @@
         let Assembly::Complete(state) = self.assembler.add(record.offset, part) else {
             return false;
         };
-        if state.next() < self.reader.first_kept || state.next() <= self.state.next() {
+        if state.next() < self.reader.first_retained || state.next() <= self.state.next() {
             return false;
         }
         let at_ms = before(now_ms, record.age_ms);
@@ -208,8 +211,8 @@
     }
 
     fn on_trimmed(&mut self, now_ms: u64, first: Offset) {
-        self.reader.on_answer(now_ms, first);
-        self.reader.cursor = self.reader.first_kept.max(self.state.next());
+        self.reader.on_response(now_ms, first);
+        self.reader.cursor = self.reader.first_retained.max(self.state.next());
     }
 
     fn on_relayed(&mut self, now_ms: u64, records: Vec<Received>, actions: &mut Vec<Action>) {
@@ -233,10 +236,10 @@
         snapshot: Option<Box<Snapshot>>,
         actions: &mut Vec<Action>,
     ) {
-        self.snapshot.release(now_ms + SNAPSHOT_RETRY_MS);
+        self.peer_query.finish(now_ms + PEER_QUERY_INTERVAL_MS);
         let Some(snapshot) = snapshot else { return };
         let Snapshot { state, age_ms } = *snapshot;
-        if !self.is_welcome(now_ms, state.next()) {
+        if !self.is_adoptable(now_ms, state.next()) {
             self.ignored.snapshots += 1;
             return;
         }
@@ -248,21 +251,22 @@
         self.adopt(state, Source::Peer, actions);
     }
 
-    /// A state that goes back is never taken. A new instance also waits for the
-    /// log rather than start with a state that is known to be old.
-    fn is_welcome(&self, now_ms: u64, offered: Offset) -> bool {
+    /// Returns whether a peer's state may be adopted. A state that goes back is never
+    /// adopted. A new instance also waits for the log instead of starting with a state
+    /// that is known to be old.
+    fn is_adoptable(&self, now_ms: u64, offered: Offset) -> bool {
         if self.has_started {
             return offered > self.state.next();
         }
-        let can_wait = !self.is_log_silent(now_ms) && !self.reader.is_stuck;
-        offered >= self.state.next() && (!can_wait || offered >= self.heads.known_next())
+        let can_wait_for_log = !self.is_log_silent(now_ms) && !self.reader.is_stuck;
+        offered >= self.state.next() && (!can_wait_for_log || offered >= self.heads.known_next())
     }
 
     fn adopt(&mut self, state: State, source: Source, actions: &mut Vec<Action>) {
         self.state = state;
         self.recent.clear();
         self.reader.cursor = self.state.next();
-        self.reader.is_stuck &= self.state.next() < self.reader.first_kept;
+        self.reader.is_stuck &= self.state.next() < self.reader.first_retained;
         actions.push(Action::Adopted {
             source,
             next: self.state.next(),
@@ -300,7 +304,7 @@
         applied.push(record);
     }
 
-    /// Verifies a part that came from the log itself.
+    /// Verifies a checkpoint part that was read from the log.
     fn verify_part(&mut self, now_ms: u64, record: &Received) {
         let Content::Record(ConfigRecord::Checkpoint(part)) = &record.content else {
             return;
@@ -322,8 +326,9 @@
         }
     }
 
-    /// Once it follows the head, a record counts as new when it arrives: so
-    /// clocks that disagree can't make every checkpoint look old.
+    /// Returns the time at which a record was written. Once the follower has started, a
+    /// record counts as written on arrival, so that clock skew cannot make every
+    /// checkpoint look old.
     fn written_at_ms(&self, now_ms: u64, record: &Received) -> i64 {
         let age_ms = if self.has_started { 0 } else { record.age_ms };
         before(now_ms, age_ms)
@@ -343,7 +348,7 @@
     }
 
     fn relay_head(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
-        if !self.heads.is_news(HEAD_STEP_MS) {
+        if !self.heads.should_relay(MIN_HEAD_ADVANCE_MS) {
             return;
         }
         if let Some(head) = self.heads.head(now_ms) {
@@ -359,8 +364,8 @@
         let is_silent = self.is_log_silent(now_ms);
         let behind_ms = self.heads.behind_ms(now_ms);
         let is_behind = behind_ms.is_some_and(|ms| ms >= BEHIND_READ_MS);
-        let is_wanted = self.duties.follows_log || !self.has_started || is_behind || is_silent;
-        if is_wanted && self.reader.slot.take(now_ms) {
+        let should_read = self.duties.follows_log || !self.has_started || is_behind || is_silent;
+        if should_read && self.reader.slot.try_start(now_ms) {
             self.reader.cursor = self.reader.cursor.max(self.state.next());
             actions.push(Action::Read {
                 from: self.reader.cursor,
@@ -372,27 +377,27 @@
     fn is_log_silent(&self, now_ms: u64) -> bool {
         self.heads
             .silent_ms(now_ms)
-            .is_none_or(|silent| silent > self.silence_limit_ms)
+            .is_none_or(|silent_ms| silent_ms > self.head_timeout_ms)
     }
 
-    fn ask_peer(&mut self, now_ms: u64, created_ms: u64, actions: &mut Vec<Action>) {
-        let is_late = now_ms.saturating_sub(created_ms) >= START_TIMEOUT_MS;
-        let needs_start = !self.has_started && (is_late || self.reader.failures > 0);
+    fn query_peer(&mut self, now_ms: u64, created_ms: u64, actions: &mut Vec<Action>) {
+        let is_overdue = now_ms.saturating_sub(created_ms) >= START_TIMEOUT_MS;
+        let needs_start = !self.has_started && (is_overdue || self.reader.failures > 0);
         let behind_ms = self.heads.behind_ms(now_ms);
-        let is_behind = behind_ms.is_some_and(|ms| ms >= BEHIND_ASK_MS);
+        let is_behind = behind_ms.is_some_and(|ms| ms >= BEHIND_QUERY_MS);
         let is_needed = needs_start || is_behind || self.reader.is_stuck;
-        if is_needed && self.snapshot.take(now_ms) {
+        if is_needed && self.peer_query.try_start(now_ms) {
             let from = self.has_started.then_some(self.state.next());
             actions.push(Action::QueryPeer { from });
         }
     }
 
     fn write_checkpoint(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
-        let first_kept = self.reader.first_kept;
+        let first_retained = self.reader.first_retained;
         let can_write = self.has_started
             && self.state.next() > Offset::default()
-            && self.state.next() >= first_kept;
-        if can_write && self.schedule.take_turn(now_ms, first_kept) {
+            && self.state.next() >= first_retained;
+        if can_write && self.schedule.try_start_write(now_ms, first_retained) {
             actions.push(Action::WriteCheckpoint(self.state.checkpoint()));
         }
     }
--- a/crates/core/src/config/head.rs
+++ b/crates/core/src/config/head.rs
@@ -1,136 +1,141 @@
-//! What is known of the stream's newest position, and how old the own state is.
+//! The newest known position of the stream and the age of this instance's state.
 
 use crate::ids::Offset;
 
-/// Newest position of the stream, as the log said it some time ago.
+/// Newest position of the stream, as reported by the log some time ago.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Head {
     /// Offset that the next append will get.
     pub next: Offset,
-    /// Time since the log said so, in ms.
+    /// Time since the report of the log, in ms.
     pub age_ms: u64,
 }
 
-/// A head with the time at which the log said it, by the own clock; what was
-/// said before that clock began has a negative time.
+/// A head with the time of the log's report by this instance's clock. Reports from
+/// before the start of that clock have negative times.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct TimedHead {
     next: Offset,
-    said_at_ms: i64,
+    reported_at_ms: i64,
 }
 
-/// Follows the heads that are heard of.
+/// Tracks the heads received from the log and from peers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HeadWatch {
-    latest: Option<Heard>,
-    /// Highest position that anyone has named.
+    latest: Option<TimedHead>,
+    /// Highest position reported by the log or a peer.
     known_next: Offset,
     behind_since_ms: Option<u64>,
-    /// Last time at which the own state was the newest.
+    /// Last time at which this instance's state was the newest.
     current_at_ms: Option<i64>,
-    relayed: Option<Heard>,
+    relayed: Option<TimedHead>,
 }
 
 impl HeadWatch {
-    /// Notes what the log itself said just now; it overrules what peers claim.
-    pub(crate) fn hear_log(&mut self, now_ms: u64, next: Offset) {
+    /// Handles a head reported by the log just now, which overrides reports of peers.
+    pub(crate) fn on_log_head(&mut self, now_ms: u64, next: Offset) {
         self.known_next = next;
-        self.note(Heard {
+        self.update_latest(TimedHead {
             next,
-            said_at_ms: before(now_ms, 0),
+            reported_at_ms: before(now_ms, 0),
         });
     }
 
-    /// Notes a head that a peer passed on.
-    pub(crate) fn hear_peer(&mut self, now_ms: u64, head: Head) {
-        self.hint(head.next);
-        self.note(Heard {
+    /// Handles a head relayed by a peer.
+    pub(crate) fn on_peer_head(&mut self, now_ms: u64, head: Head) {
+        self.note_peer_offset(head.next);
+        self.update_latest(TimedHead {
             next: head.next,
-            said_at_ms: before(now_ms, head.age_ms),
+            reported_at_ms: before(now_ms, head.age_ms),
         });
     }
 
-    /// Notes that some instance has a state at `next`.
-    pub(crate) fn hint(&mut self, next: Offset) {
+    /// Notes that another instance has a state at `next`.
+    pub(crate) fn note_peer_offset(&mut self, next: Offset) {
         self.known_next = self.known_next.max(next);
     }
 
-    /// Takes over a peer's account of how old its state is.
+    /// Adopts the age of a peer's state.
     pub(crate) fn adopt_age(&mut self, now_ms: u64, age_ms: u64) {
         let at_ms = before(now_ms, age_ms);
         self.current_at_ms = self.current_at_ms.max(Some(at_ms));
     }
 
-    /// Compares what is known with the own state's next offset.
-    pub(crate) fn compare(&mut self, now_ms: u64, own_next: Offset) {
+    /// Updates the lag and the age of this instance's state, whose next offset is
+    /// `own_next`.
+    pub(crate) fn update_lag(&mut self, now_ms: u64, own_next: Offset) {
         self.known_next = self.known_next.max(own_next);
         if self.known_next > own_next {
             self.behind_since_ms.get_or_insert(now_ms);
         } else {
             self.behind_since_ms = None;
         }
-        if let Some(heard) = self.latest
-            && own_next >= heard.next
+        if let Some(timed_head) = self.latest
+            && own_next >= timed_head.next
         {
-            self.current_at_ms = self.current_at_ms.max(Some(heard.said_at_ms));
+            self.current_at_ms = self.current_at_ms.max(Some(timed_head.reported_at_ms));
         }
     }
 
-    /// Returns the highest position known of.
+    /// Returns the highest known position.
     pub(crate) fn known_next(&self) -> Offset {
         self.known_next
     }
 
-    /// Returns for how long the own state has been known to be behind, in ms.
+    /// Returns the time for which this instance's state is known to be behind, in ms.
     pub(crate) fn behind_ms(&self, now_ms: u64) -> Option<u64> {
         self.behind_since_ms
             .map(|since| now_ms.saturating_sub(since))
     }
 
-    /// Returns the time since the log was last heard of, by any way, in ms.
+    /// Returns the time since the last report of the log, received directly or by relay,
+    /// in ms.
     pub(crate) fn silent_ms(&self, now_ms: u64) -> Option<u64> {
-        self.latest.map(|heard| since(now_ms, heard.said_at_ms))
+        self.latest
+            .map(|timed_head| since(now_ms, timed_head.reported_at_ms))
     }
 
-    /// Returns the time since the own state was known to be the newest, in ms.
+    /// Returns the time since this instance's state was last known to be the newest, in
+    /// ms.
     pub(crate) fn age_ms(&self, now_ms: u64) -> Option<u64> {
         self.current_at_ms.map(|at_ms| since(now_ms, at_ms))
     }
 
     /// Returns the latest head.
     pub(crate) fn head(&self, now_ms: u64) -> Option<Head> {
-        self.latest.map(|heard| Head {
-            next: heard.next,
-            age_ms: since(now_ms, heard.said_at_ms),
+        self.latest.map(|timed_head| Head {
+            next: timed_head.next,
+            age_ms: since(now_ms, timed_head.reported_at_ms),
         })
     }
 
-    /// Tells whether the latest head is worth passing on: it is at least
-    /// `step_ms` fresher than the last one passed on, or higher.
-    pub(crate) fn is_news(&self, step_ms: i64) -> bool {
+    /// Returns whether the latest head should be relayed, because it is higher or at least
+    /// `min_advance_ms` newer than the last relayed head.
+    pub(crate) fn should_relay(&self, min_advance_ms: i64) -> bool {
         match (self.latest, self.relayed) {
             (None, _) => false,
             (Some(_), None) => true,
             (Some(latest), Some(relayed)) => {
-                latest.next > relayed.next || latest.said_at_ms >= relayed.said_at_ms + step_ms
+                latest.next > relayed.next
+                    || latest.reported_at_ms >= relayed.reported_at_ms + min_advance_ms
             }
         }
     }
 
-    /// Notes that the latest head was passed on.
+    /// Notes that the latest head was relayed.
     pub(crate) fn mark_relayed(&mut self) {
         self.relayed = self.latest;
     }
 
-    fn note(&mut self, heard: Heard) {
-        let latest = self.latest.get_or_insert(heard);
-        latest.next = latest.next.max(heard.next);
-        latest.said_at_ms = latest.said_at_ms.max(heard.said_at_ms);
+    fn update_latest(&mut self, timed_head: TimedHead) {
+        let latest = self.latest.get_or_insert(timed_head);
+        latest.next = latest.next.max(timed_head.next);
+        latest.reported_at_ms = latest.reported_at_ms.max(timed_head.reported_at_ms);
     }
 }
 
-/// Returns the time `age_ms` before `now_ms`, which may be before the own clock
-/// began.
+/// Returns the time `age_ms` before `now_ms`, which may be before the start of this
+/// instance's clock.
 pub(crate) fn before(now_ms: u64, age_ms: u64) -> i64 {
     now_ms.cast_signed().saturating_sub_unsigned(age_ms)
 }
--- a/crates/core/src/config/plan.rs
+++ b/crates/core/src/config/plan.rs
@@ -1,4 +1,4 @@
-//! From an intent to a plan, with everything that is wrong told at once.
+//! Computes a plan from an intent and reports all errors at once.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,21 +10,21 @@
     change::{Change, ChangeOp, Intent, Plan},
     config::{
         rules::{self, Violation},
-        state::swap_ops,
+        state::apply_ops,
         store::Store,
     },
     ids::{ChangeId, Offset, OperatorName, is_valid_name},
     objects::{Model, Object, ObjectKey, ObjectKind},
 };
 
-/// Largest change that fits a record, as JSON, in bytes.
+/// Maximum size of a change as JSON, in bytes, so that it fits a record.
 pub const MAX_CHANGE_BYTES: usize = 250 * 1024;
 
 quick_error! {
-    /// What is wrong with an intent.
+    /// Error in an intent.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum PlanError {
-        /// The operator's name breaks the rule for names.
+        /// The operator's name is not valid.
         BadOperator(name: OperatorName) {
             display("operator {:?}: allowed are 1 to 63 lower-case letters, digits, `-` or `.`", name.as_str())
         }
@@ -36,7 +36,7 @@
         PutAndRemoved(key: ObjectKey) {
             display("{}: both configured and removed", key)
         }
-        /// The intent removes what is not there.
+        /// The intent removes an object that does not exist.
         UnknownRemoved(key: ObjectKey) {
             display("{}: to be removed, but not configured", key)
         }
@@ -44,14 +44,14 @@
         Rule(violation: Violation) {
             display("{}", violation)
         }
-        /// The change does not fit a record; it can be split.
+        /// The change does not fit a record. The intent can be split.
         TooLarge(bytes: usize) {
             display("the change takes {} bytes, at most {} fit a record: split the intent", bytes, MAX_CHANGE_BYTES)
         }
     }
 }
 
-/// Computes the identifier of a change: a digest of all its content.
+/// Computes the identifier of a change, which is a digest of its content.
 pub fn change_id(base: Offset, operator: &OperatorName, ops: &[ChangeOp]) -> ChangeId {
     #[derive(Serialize)]
     struct Content<'a> {
@@ -68,16 +68,16 @@
     ChangeId::new(hex::encode(digest))
 }
 
-/// Writes a value of this crate's own types as JSON.
+/// Serialises a value of this crate's types as JSON.
 ///
 /// # Panics
 ///
-/// Panics when the value has no JSON form, which these types rule out.
+/// Panics if the value has no JSON form, which is impossible for these types.
 pub(crate) fn to_json(value: &impl Serialize) -> Vec<u8> {
     serde_json::to_vec(value).expect("own types have string keys and finite numbers only")
 }
 
-/// Plans the change from `store` that `intent` asks for.
+/// Plans the change of `store` that `intent` describes.
 pub(crate) fn plan(
     store: &Store,
     base: Offset,
@@ -92,15 +92,15 @@
     let removed = removed(store, intent, &puts, &mut errors);
     let ops: Vec<ChangeOp> = puts
         .into_values()
-        .filter(|object| !store.has_same(object))
+        .filter(|object| !store.contains_identical(object))
         .map(ChangeOp::Put)
         .chain(removed.into_iter().map(ChangeOp::Delete))
         .collect();
 
-    let mut after = store.clone();
-    swap_ops(&mut after, &ops);
+    let mut result = store.clone();
+    apply_ops(&mut result, &ops);
     let touched = ops.iter().map(ChangeOp::key).collect();
-    let violations = rules::check(&after, &touched);
+    let violations = rules::check(&result, &touched);
     errors.extend(violations.into_iter().map(PlanError::Rule));
 
     let change = Change {
@@ -119,7 +119,7 @@
     Ok(Plan {
         summary: summary(store, &change.ops),
         moves: moves(store, &change.ops),
-        warnings: warnings(&after, &change.ops),
+        warnings: warnings(&result, &change.ops),
         change,
     })
 }
@@ -208,25 +208,29 @@
         }
         Some(old) if old.size_mb != new.size_mb => Some(format!("{load}, anew")),
         Some(old) if old.min_replicas != replicas => {
-            let before = old.min_replicas;
-            Some(format!("{load}, {before} before"))
+            let old_replicas = old.min_replicas;
+            Some(format!("{load}, {old_replicas} before"))
         }
         Some(_) => None,
     }
 }
 
-fn warnings(after: &Store, ops: &[ChangeOp]) -> Vec<String> {
+fn warnings(result: &Store, ops: &[ChangeOp]) -> Vec<String> {
     let mut warnings = Vec::new();
     if ops.is_empty() {
         warnings.push("nothing would change".to_owned());
     }
-    let staffed: BTreeSet<_> = after.backends.values().map(|x| &x.pool).collect();
-    for pool in after.pools.keys().filter(|pool| !staffed.contains(pool)) {
+    let pools_with_backends: BTreeSet<_> = result.backends.values().map(|x| &x.pool).collect();
+    for pool in result
+        .pools
+        .keys()
+        .filter(|pool| !pools_with_backends.contains(pool))
+    {
         let pool = pool.as_str();
         warnings.push(format!("pool {pool:?} has no backend server"));
     }
     let mut addrs = BTreeMap::new();
-    for backend in after.backends.values() {
+    for backend in result.backends.values() {
         if let Some(other) = addrs.insert(backend.addr, &backend.name) {
             let (name, other, addr) = (backend.name.as_str(), other.as_str(), backend.addr);
             warnings.push(format!("backends {other:?} and {name:?} share {addr}"));
--- a/crates/core/src/config/recent.rs
+++ b/crates/core/src/config/recent.rs
@@ -1,4 +1,4 @@
-//! The last records applied, for peers that missed a few.
+//! The most recently applied records, for peers that missed some of them.
 
 use std::collections::VecDeque;
 
@@ -7,53 +7,56 @@
     ids::Offset,
 };
 
-/// Most records that are kept.
-const MAX_RECENT: usize = 32;
+/// Maximum number of retained records.
+const MAX_RECORDS: usize = 32;
 
-/// The last records applied, without a gap.
+/// The most recently applied records, without gaps.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Recent {
-    records: VecDeque<Arrived>,
+pub(crate) struct RecentRecords {
+    records: VecDeque<TimedRecord>,
 }
 
 #[derive(Clone, Debug)]
-struct Arrived {
+struct TimedRecord {
     at_ms: u64,
     record: Received,
 }
 
-impl Recent {
+impl RecentRecords {
     /// Adds the record that follows the last one.
     pub(crate) fn push(&mut self, at_ms: u64, record: &Received) {
-        if self.records.len() == MAX_RECENT {
+        if self.records.len() == MAX_RECORDS {
             self.records.pop_front();
         }
         let record = without_items(record.clone());
-        self.records.push_back(Arrived { at_ms, record });
+        self.records.push_back(TimedRecord { at_ms, record });
     }
 
-    /// Forgets everything, when records were skipped.
+    /// Removes all records, after records were skipped.
     pub(crate) fn clear(&mut self) {
         self.records.clear();
     }
 
-    /// Copies the records from an offset on; none when that one is not kept.
+    /// Returns the records from an offset on, or none if that offset is not retained.
     pub(crate) fn copy_from(&self, now_ms: u64, from: Offset) -> Vec<Received> {
-        let is_kept = self
+        let is_retained = self
             .records
             .front()
-            .is_some_and(|x| x.record.offset <= from);
-        let wanted = self.records.iter().filter(|x| x.record.offset >= from);
-        let aged = |arrived: &Arrived| Received {
-            age_ms: arrived.record.age_ms + now_ms.saturating_sub(arrived.at_ms),
-            ..arrived.record.clone()
+            .is_some_and(|timed_record| timed_record.record.offset <= from);
+        let requested = self
+            .records
+            .iter()
+            .filter(|timed_record| timed_record.record.offset >= from);
+        let aged = |timed_record: &TimedRecord| Received {
+            age_ms: timed_record.record.age_ms + now_ms.saturating_sub(timed_record.at_ms),
+            ..timed_record.record.clone()
         };
-        wanted.filter(|_| is_kept).map(aged).collect()
+        requested.filter(|_| is_retained).map(aged).collect()
     }
 }
 
-/// Leaves out what no peer needs: a part of a checkpoint only takes up its
-/// offset in the state.
+/// Removes the items of a checkpoint part. Peers do not need them, because a part only
+/// advances the offset of the state.
 pub(crate) fn without_items(mut record: Received) -> Received {
     if let Content::Record(ConfigRecord::Checkpoint(part)) = &mut record.content {
         part.items.clear();
--- a/crates/core/src/config/record.rs
+++ b/crates/core/src/config/record.rs
@@ -1,4 +1,4 @@
-//! What a record of the configuration stream carries.
+//! Content of the records of the configuration stream.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/core/src/config/rules.rs
+++ b/crates/core/src/config/rules.rs
@@ -1,4 +1,4 @@
-//! What a valid configuration is.
+//! Validation of the configuration.
 
 use std::collections::BTreeSet;
 
@@ -11,51 +11,51 @@
     objects::{Backend, Model, ObjectKey, ObjectKind, Pipeline, Pool, Stage, StageKind, Workspace},
 };
 
-/// Most stages of a pipeline.
+/// Maximum number of stages of a pipeline.
 pub const MAX_STAGES: usize = 16;
-/// Longest deadline of a pipeline, in ms.
+/// Maximum deadline of a pipeline, in ms.
 pub const MAX_DEADLINE_MS: u64 = 600_000;
-/// Most calls that a backend server can be declared to work on at once.
+/// Maximum number of concurrent calls of a backend server.
 pub const MAX_SLOTS: u32 = 4_096;
-/// Most engines of an availability zone that a model can ask for.
+/// Maximum value of a model's minimum number of engines in each availability zone.
 pub const MAX_REPLICAS: u32 = 1_000;
-/// Greatest weight of a workspace.
+/// Maximum weight of a workspace.
 pub const MAX_WEIGHT: u32 = 1_000_000;
-/// Most pipelines that a workspace can use.
+/// Maximum number of pipelines of a workspace.
 pub const MAX_PIPELINES_PER_WORKSPACE: usize = 256;
 
 const PER_MILLE: u32 = 1_000;
 
 quick_error! {
-    /// What is wrong with one object.
+    /// Reason why an object is not valid.
     #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
     #[serde(rename_all = "snake_case")]
     pub enum Fault {
-        /// A name breaks the rule for names.
+        /// A name is not valid.
         BadName(name: String) {
-            display("name {:?}: found what is not 1 to 63 lower-case letters, digits, `-` or `.` between letters or digits", name)
+            display("name {:?}: allowed are 1 to 63 lower-case letters, digits, `-` or `.`, starting and ending with a letter or digit", name)
         }
         /// A number is out of its range.
-        OutOfRange(field: String, found: u64, least: u64, most: u64) {
-            display("{}: found {}, allowed are {} to {}", field, found, least, most)
+        OutOfRange(field: String, found: u64, min: u64, max: u64) {
+            display("{}: found {}, allowed are {} to {}", field, found, min, max)
         }
-        /// A pool is named that would not exist.
+        /// A referenced pool would not exist.
         UnknownPool(name: PoolName) {
             display("pool {:?} is not configured, or would be removed", name.as_str())
         }
-        /// A model is named that would not exist.
+        /// A referenced model would not exist.
         UnknownModel(name: ModelName) {
             display("model {:?} is not configured, or would be removed", name.as_str())
         }
-        /// A pipeline is named that would not exist.
+        /// A referenced pipeline would not exist.
         UnknownPipeline(name: PipelineName) {
             display("pipeline {:?} is not configured, or would be removed", name.as_str())
         }
-        /// A model is asked of a pool that does not generate.
+        /// A model is assigned to a pool that is not of kind generate.
         NotGenerating(pool: PoolName) {
             display("pool {:?} is not of kind generate, so it serves no model", pool.as_str())
         }
-        /// A stage's model belongs to another pool than the stage.
+        /// A stage and its model belong to different pools.
         ModelOfOtherPool(model: ModelName, pool: PoolName) {
             display("model {:?} is not served by pool {:?}", model.as_str(), pool.as_str())
         }
@@ -63,7 +63,7 @@
         DuplicateStage(name: StageName) {
             display("stage {:?} is named twice", name.as_str())
         }
-        /// A workspace names a pipeline twice.
+        /// A workspace lists a pipeline twice.
         DuplicatePipeline(name: PipelineName) {
             display("pipeline {:?} is named twice", name.as_str())
         }
@@ -74,12 +74,12 @@
     }
 }
 
-/// A fault and the object that has it.
+/// An invalid object and the reason.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Violation {
     /// Object that would not be valid.
     pub key: ObjectKey,
-    /// What is wrong with it.
+    /// Reason why it is not valid.
     pub fault: Fault,
 }
 
@@ -89,12 +89,12 @@
     }
 }
 
-/// Checks the touched objects and those that refer to them; everything else
-/// was valid before and still is.
+/// Checks the touched objects and the objects that refer to them. All other objects
+/// were valid before and remain valid.
 pub(crate) fn check(store: &Store, touched: &BTreeSet<ObjectKey>) -> Vec<Violation> {
     let mut found = Vec::new();
     for key in affected(store, touched) {
-        for fault in faults(store, &key) {
+        for fault in find_faults(store, &key) {
             found.push(Violation {
                 key: key.clone(),
                 fault,
@@ -104,7 +104,7 @@
     found
 }
 
-/// Touched objects by kind, to look up who refers to them.
+/// Touched objects, to look up the objects that refer to them.
 struct Touched<'a>(&'a BTreeSet<ObjectKey>);
 
 impl Touched<'_> {
@@ -112,14 +112,14 @@
         self.0.iter().any(|key| key.kind == kind)
     }
 
-    fn has(&self, kind: ObjectKind, name: &str) -> bool {
+    fn contains(&self, kind: ObjectKind, name: &str) -> bool {
         self.0.contains(&key(kind, name))
     }
 
-    fn has_stage(&self, stage: &Stage) -> bool {
+    fn contains_stage(&self, stage: &Stage) -> bool {
         let model = stage.model.as_ref();
-        self.has(ObjectKind::Pool, stage.pool.as_str())
-            || model.is_some_and(|name| self.has(ObjectKind::Model, name.as_str()))
+        self.contains(ObjectKind::Pool, stage.pool.as_str())
+            || model.is_some_and(|name| self.contains(ObjectKind::Model, name.as_str()))
     }
 }
 
@@ -134,39 +134,53 @@
     let mut keys = touched.clone();
     let touched = Touched(touched);
     if touched.any(ObjectKind::Pool) {
-        keys.extend(users_of_pools(store, &touched));
+        keys.extend(references_to_pools(store, &touched));
     }
     if touched.any(ObjectKind::Pool) || touched.any(ObjectKind::Model) {
-        keys.extend(users_in_stages(store, &touched));
+        keys.extend(references_in_stages(store, &touched));
     }
     if touched.any(ObjectKind::Pipeline) {
-        keys.extend(users_of_pipelines(store, &touched));
+        keys.extend(references_to_pipelines(store, &touched));
     }
     keys
 }
 
-fn users_of_pools(store: &Store, touched: &Touched<'_>) -> impl Iterator<Item = ObjectKey> {
-    let uses = |pool: &PoolName| touched.has(ObjectKind::Pool, pool.as_str());
-    let backends = store.backends.values().filter(move |x| uses(&x.pool));
-    let models = store.models.values().filter(move |x| uses(&x.pool));
-    let backends = backends.map(|x| key(ObjectKind::Backend, x.name.as_str()));
-    backends.chain(models.map(|x| key(ObjectKind::Model, x.name.as_str())))
+fn references_to_pools(store: &Store, touched: &Touched<'_>) -> impl Iterator<Item = ObjectKey> {
+    let uses = |pool: &PoolName| touched.contains(ObjectKind::Pool, pool.as_str());
+    let backends = store
+        .backends
+        .values()
+        .filter(move |object| uses(&object.pool));
+    let models = store
+        .models
+        .values()
+        .filter(move |object| uses(&object.pool));
+    let backends = backends.map(|object| key(ObjectKind::Backend, object.name.as_str()));
+    backends.chain(models.map(|object| key(ObjectKind::Model, object.name.as_str())))
 }
 
-fn users_in_stages(store: &Store, touched: &Touched<'_>) -> impl Iterator<Item = ObjectKey> {
-    let uses = |x: &Pipeline| x.stages.iter().any(|stage| touched.has_stage(stage));
-    let pipelines = store.pipelines.values().filter(move |x| uses(x));
-    pipelines.map(|x| key(ObjectKind::Pipeline, x.name.as_str()))
+fn references_in_stages(store: &Store, touched: &Touched<'_>) -> impl Iterator<Item = ObjectKey> {
+    let uses = |object: &Pipeline| {
+        object
+            .stages
+            .iter()
+            .any(|stage| touched.contains_stage(stage))
+    };
+    let pipelines = store.pipelines.values().filter(move |object| uses(object));
+    pipelines.map(|object| key(ObjectKind::Pipeline, object.name.as_str()))
 }
 
-fn users_of_pipelines(store: &Store, touched: &Touched<'_>) -> impl Iterator<Item = ObjectKey> {
-    let is_touched = |name: &PipelineName| touched.has(ObjectKind::Pipeline, name.as_str());
-    let uses = move |x: &Workspace| x.pipelines.iter().any(is_touched);
-    let workspaces = store.workspaces.values().filter(move |x| uses(x));
-    workspaces.map(|x| key(ObjectKind::Workspace, x.name.as_str()))
+fn references_to_pipelines(
+    store: &Store,
+    touched: &Touched<'_>,
+) -> impl Iterator<Item = ObjectKey> {
+    let is_touched = |name: &PipelineName| touched.contains(ObjectKind::Pipeline, name.as_str());
+    let uses = move |object: &Workspace| object.pipelines.iter().any(is_touched);
+    let workspaces = store.workspaces.values().filter(move |object| uses(object));
+    workspaces.map(|object| key(ObjectKind::Workspace, object.name.as_str()))
 }
 
-fn faults(store: &Store, key: &ObjectKey) -> Vec<Fault> {
+fn find_faults(store: &Store, key: &ObjectKey) -> Vec<Fault> {
     let name = key.name.as_str();
     let mut found = Vec::new();
     match key.kind {
@@ -205,9 +219,9 @@
     }
 }
 
-fn check_range(field: &str, value: u64, least: u64, most: u64, found: &mut Vec<Fault>) {
-    if value < least || value > most {
-        found.push(Fault::OutOfRange(field.to_owned(), value, least, most));
+fn check_range(field: &str, value: u64, min: u64, max: u64, found: &mut Vec<Fault>) {
+    if value < min || value > max {
+        found.push(Fault::OutOfRange(field.to_owned(), value, min, max));
     }
 }
 
--- a/crates/core/src/config/schedule.rs
+++ b/crates/core/src/config/schedule.rs
@@ -1,4 +1,4 @@
-//! When an instance writes a checkpoint.
+//! Schedule of the checkpoints written by an instance.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,36 +7,36 @@
 
 use crate::{config::CheckpointPart, ids::Offset};
 
-/// Part of the retention after which a checkpoint is renewed.
+/// Divisor of the retention time that gives the age at which a checkpoint is renewed.
 const RENEWAL_DIVISOR: u64 = 3;
-/// Part of the retention by which each rank waits longer than the one before.
+/// Divisor of the retention time that gives the additional wait of each rank.
 const RANK_DIVISOR: u64 = 60;
-/// Longest wait of one rank, in ms.
+/// Maximum additional wait of each rank, in ms.
 const MAX_RANK_STEP_MS: u64 = 30_000;
-/// Rank from which on all wait equally long.
+/// Rank from which on all ranks wait equally long.
 const LAST_RANK: u64 = 8;
-/// Most checkpoints whose parts are counted at the same time.
-const MAX_COUNTED: usize = 4;
+/// Maximum number of checkpoints whose parts are counted at the same time.
+const MAX_PARTIAL_CHECKPOINTS: usize = 4;
 
-/// Decides when the own rank's turn for a checkpoint has come.
+/// Decides when this instance writes a checkpoint, according to its rank.
 #[derive(Clone, Debug)]
 pub(crate) struct Schedule {
     retention_ms: u64,
-    /// Newest complete checkpoint: what it covers and when it was written.
+    /// Covered offset and write time of the newest complete checkpoint, in ms.
     newest: Option<(Offset, i64)>,
-    /// Since when there are records, or a state, that no checkpoint covers.
+    /// Time since which there are records or a state that no checkpoint covers, in ms.
     uncovered_since_ms: Option<i64>,
-    /// Since when the log has been known to keep no usable checkpoint.
+    /// Time since which the log is known to retain no usable checkpoint, in ms.
     lost_since_ms: Option<i64>,
     rank: u64,
     jitter_ms: u64,
     not_before_ms: u64,
     is_writing: bool,
-    counted: BTreeMap<(Offset, String), BTreeSet<u32>>,
+    partial_checkpoints: BTreeMap<(Offset, String), BTreeSet<u32>>,
 }
 
 impl Schedule {
-    /// Starts without any checkpoint.
+    /// Creates a schedule without any known checkpoint.
     pub(crate) fn new(retention_ms: u64, rng: &mut Pcg64Mcg) -> Self {
         let mut schedule = Self {
             retention_ms,
@@ -47,18 +47,18 @@
             jitter_ms: 0,
             not_before_ms: 0,
             is_writing: false,
-            counted: BTreeMap::new(),
+            partial_checkpoints: BTreeMap::new(),
         };
         schedule.draw_jitter(rng);
         schedule
     }
 
-    /// Sets the own rank, 0 for the first.
+    /// Sets the rank of this instance, 0 for the first.
     pub(crate) fn set_rank(&mut self, rank: u64) {
         self.rank = rank.min(LAST_RANK);
     }
 
-    /// Notes that the state holds something written at `at_ms`.
+    /// Notes that the state includes a record written at `at_ms`.
     pub(crate) fn note_content(&mut self, at_ms: i64) {
         self.uncovered_since_ms.get_or_insert(at_ms);
     }
@@ -73,45 +73,45 @@
         self.draw_jitter(rng);
     }
 
-    /// Counts a part that came without its items; all parts together count as
-    /// a complete checkpoint. Instances that read the log verify them.
+    /// Counts a part without items. Once all parts are counted, the checkpoint counts as
+    /// complete. Instances that read the log verify the parts.
     pub(crate) fn count_part(&mut self, part: &CheckpointPart, at_ms: i64, rng: &mut Pcg64Mcg) {
         let id = (part.covers, part.digest.clone());
-        let seen = self.counted.entry(id.clone()).or_default();
-        seen.insert(part.index);
-        if seen.len() == part.count as usize {
-            self.counted.remove(&id);
+        let received_parts = self.partial_checkpoints.entry(id.clone()).or_default();
+        received_parts.insert(part.index);
+        if received_parts.len() == part.count as usize {
+            self.partial_checkpoints.remove(&id);
             self.note_complete(part.covers, at_ms, rng);
         }
-        while self.counted.len() > MAX_COUNTED {
-            self.counted.pop_first();
+        while self.partial_checkpoints.len() > MAX_PARTIAL_CHECKPOINTS {
+            self.partial_checkpoints.pop_first();
         }
     }
 
-    /// Tells whether to write a checkpoint now; the caller then does.
-    pub(crate) fn take_turn(&mut self, now_ms: u64, first_kept: Offset) -> bool {
+    /// Returns whether to write a checkpoint now. If so, the caller must write it.
+    pub(crate) fn try_start_write(&mut self, now_ms: u64, first_retained: Offset) -> bool {
         let is_due = !self.is_writing
             && now_ms >= self.not_before_ms
             && self
-                .due_ms(now_ms, first_kept)
+                .due_ms(now_ms, first_retained)
                 .is_some_and(|due_ms| now_ms.cast_signed() >= due_ms);
         self.is_writing |= is_due;
         is_due
     }
 
-    /// Notes that the write ended; unless the checkpoint is then read back,
-    /// another follows after a pause.
+    /// Notes that the write ended. Unless the checkpoint is then read back, another write
+    /// follows after a pause.
     pub(crate) fn finish_write(&mut self, now_ms: u64) {
         self.is_writing = false;
         self.not_before_ms = now_ms + 2 * self.rank_step_ms();
     }
 
-    fn due_ms(&mut self, now_ms: u64, first_kept: Offset) -> Option<i64> {
+    fn due_ms(&mut self, now_ms: u64, first_retained: Offset) -> Option<i64> {
         let wait_ms = self.rank * self.rank_step_ms() + self.jitter_ms;
         let renewal_ms = (self.retention_ms / RENEWAL_DIVISOR).cast_signed();
         let base_ms = match self.newest {
-            Some((covers, at_ms)) if covers >= first_kept => at_ms + renewal_ms,
-            None if first_kept == Offset::default() => self.uncovered_since_ms? + renewal_ms,
+            Some((covers, at_ms)) if covers >= first_retained => at_ms + renewal_ms,
+            None if first_retained == Offset::default() => self.uncovered_since_ms? + renewal_ms,
             None | Some(_) => *self.lost_since_ms.get_or_insert(now_ms.cast_signed()),
         };
         Some(base_ms.saturating_add_unsigned(wait_ms))
--- a/crates/core/src/config/state.rs
+++ b/crates/core/src/config/state.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, and the rule by which records change it.
+//! The configuration in force and the rule by which records change it.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -16,24 +16,24 @@
     objects::{Backend, Model, Object, ObjectKey, Pipeline, Pool, Workspace},
 };
 
-/// Offsets back for which the state remembers what changed and which changes
-/// were decided. A change whose base is older is rejected, so forgetting never
-/// alters a verdict.
+/// Number of past offsets for which the state retains changed objects and decided
+/// changes. A change with an older base is rejected, so eviction never alters a
+/// verdict.
 pub const RETAINED_OFFSETS: u64 = 4_096;
-/// Most keys or reasons that a verdict names.
+/// Maximum number of keys or reasons in a verdict.
 pub const MAX_REASONS: usize = 8;
 
-/// The configuration after every record below [`State::next`].
+/// The configuration after all records below [`State::next`] are applied.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct State {
     next: Offset,
     store: Store,
-    /// Offset of the last change of each object, removed ones included.
-    changed: BTreeMap<ObjectKey, Offset>,
-    changed_order: BTreeSet<(Offset, ObjectKey)>,
-    /// Decided changes by offset; `decided` finds them by identifier.
+    /// Offset of the last change of each object, including removed objects.
+    last_changes: BTreeMap<ObjectKey, Offset>,
+    last_changes_by_offset: BTreeSet<(Offset, ObjectKey)>,
+    /// Decided changes by offset; `decided_offsets` maps identifiers to offsets.
     history: VecDeque<HistoryEntry>,
-    decided: BTreeMap<ChangeId, Offset>,
+    decided_offsets: BTreeMap<ChangeId, Offset>,
 }
 
 impl State {
@@ -42,16 +42,16 @@
         Self::default()
     }
 
-    /// Returns the offset of the record that has to come next.
+    /// Returns the offset of the next record to apply.
     pub fn next(&self) -> Offset {
         self.next
     }
 
-    /// Applies the record at `offset`. The same records in the same order give
-    /// the same state and results everywhere.
+    /// Applies the record at `offset`. The same records in the same order give the same
+    /// state and results on every instance.
     pub fn apply(&mut self, offset: Offset, record: &ConfigRecord) -> Applied {
-        if let Some(refused) = self.out_of_order(offset) {
-            return refused;
+        if let Some(rejected) = self.check_order(offset) {
+            return rejected;
         }
         let applied = match record {
             ConfigRecord::Change(change) => self.decide(offset, change),
@@ -62,10 +62,10 @@
         applied
     }
 
-    /// Passes over a record whose payload can't be decoded.
+    /// Skips the record at `offset`, whose payload cannot be decoded.
     pub fn apply_undecodable(&mut self, offset: Offset) -> Applied {
-        if let Some(refused) = self.out_of_order(offset) {
-            return refused;
+        if let Some(rejected) = self.check_order(offset) {
+            return rejected;
         }
         self.advance(offset);
         Applied::Invalid {
@@ -73,11 +73,11 @@
         }
     }
 
-    /// Plans the change that `intent` asks for.
+    /// Plans the change that `intent` describes.
     ///
     /// # Errors
     ///
-    /// Returns everything that is wrong with the intent, not only the first.
+    /// Returns all errors in the intent, not only the first.
     pub fn plan(&self, intent: &Intent, operator: &OperatorName) -> Result<Plan, Vec<PlanError>> {
         plan::plan(&self.store, self.next, intent, operator)
     }
@@ -132,7 +132,7 @@
         self.store.backends.values().map(|x| &**x)
     }
 
-    /// Copies every object in force, in the order of kind and name.
+    /// Returns copies of all objects in force, ordered by kind and name.
     pub fn objects(&self) -> impl Iterator<Item = Object> + '_ {
         self.store.objects()
     }
@@ -143,9 +143,9 @@
         self.history.iter().rev()
     }
 
-    /// Finds how a change was decided, while it is remembered.
+    /// Returns the decision on a change, if it is still retained.
     pub fn decision(&self, id: &ChangeId) -> Option<&HistoryEntry> {
-        let offset = self.decided.get(id)?;
+        let offset = self.decided_offsets.get(id)?;
         let index = self
             .history
             .binary_search_by_key(offset, |entry| entry.offset)
@@ -153,7 +153,7 @@
         self.history.get(index)
     }
 
-    fn out_of_order(&self, offset: Offset) -> Option<Applied> {
+    fn check_order(&self, offset: Offset) -> Option<Applied> {
         if offset < self.next {
             return Some(Applied::Old);
         }
@@ -163,16 +163,16 @@
     }
 
     fn decide(&mut self, offset: Offset, change: &Change) -> Applied {
-        if let Some(reason) = forged(offset, change) {
+        if let Some(reason) = find_forgery(offset, change) {
             return Applied::Invalid {
                 reasons: vec![reason],
             };
         }
-        if let Some(first) = self.decided.get(&change.id) {
+        if let Some(first) = self.decided_offsets.get(&change.id) {
             return Applied::Repeat { first: *first };
         }
         let verdict = self.verdict(offset, change);
-        self.remember(HistoryEntry {
+        self.add_to_history(HistoryEntry {
             offset,
             id: change.id.clone(),
             operator: change.operator.clone(),
@@ -182,7 +182,7 @@
     }
 
     fn verdict(&mut self, offset: Offset, change: &Change) -> Verdict {
-        if change.base < remembered_from(offset) {
+        if change.base < retained_from(offset) {
             return Verdict::TooOld;
         }
         let touched = match touched_keys(&change.ops) {
@@ -193,7 +193,7 @@
         if !conflicts.is_empty() {
             return Verdict::Conflict { touched: conflicts };
         }
-        if let Err(reasons) = self.store_ops(&change.ops, &touched) {
+        if let Err(reasons) = self.try_apply_ops(&change.ops, &touched) {
             return Verdict::Invalid { reasons };
         }
         for key in touched {
@@ -203,13 +203,17 @@
     }
 
     fn conflicts(&self, base: Offset, touched: &BTreeSet<ObjectKey>) -> Vec<ObjectKey> {
-        let changed_since = |key: &&ObjectKey| self.changed.get(*key).is_some_and(|at| *at >= base);
+        let changed_since = |key: &&ObjectKey| {
+            self.last_changes
+                .get(*key)
+                .is_some_and(|offset| *offset >= base)
+        };
         let conflicts = touched.iter().filter(changed_since);
         conflicts.take(MAX_REASONS).cloned().collect()
     }
 
-    /// Puts the steps in force together, or leaves everything as it was.
-    fn store_ops(
+    /// Applies all steps, or none if the result is not valid.
+    fn try_apply_ops(
         &mut self,
         ops: &[ChangeOp],
         touched: &BTreeSet<ObjectKey>,
@@ -219,7 +223,7 @@
             ChangeOp::Delete(_) | ChangeOp::Put(_) => None,
         });
         let mut reasons: Vec<_> = unknown.map(InvalidReason::UnknownRemoved).collect();
-        let undo = swap_ops(&mut self.store, ops);
+        let undo = apply_ops(&mut self.store, ops);
         let violations = rules::check(&self.store, touched);
         reasons.extend(violations.into_iter().map(InvalidReason::Rule));
         if reasons.is_empty() {
@@ -231,44 +235,48 @@
     }
 
     fn mark_changed(&mut self, key: ObjectKey, offset: Offset) {
-        if let Some(old) = self.changed.insert(key.clone(), offset) {
-            self.changed_order.remove(&(old, key.clone()));
+        if let Some(old) = self.last_changes.insert(key.clone(), offset) {
+            self.last_changes_by_offset.remove(&(old, key.clone()));
         }
-        self.changed_order.insert((offset, key));
+        self.last_changes_by_offset.insert((offset, key));
     }
 
-    fn remember(&mut self, entry: HistoryEntry) {
-        self.decided.insert(entry.id.clone(), entry.offset);
+    fn add_to_history(&mut self, entry: HistoryEntry) {
+        self.decided_offsets.insert(entry.id.clone(), entry.offset);
         self.history.push_back(entry);
     }
 
     fn advance(&mut self, offset: Offset) {
         self.next = offset.next();
-        let from = remembered_from(self.next);
-        while let Some(entry) = self.history.pop_front_if(|entry| entry.offset < from) {
-            self.decided.remove(&entry.id);
+        let oldest = retained_from(self.next);
+        while let Some(entry) = self.history.pop_front_if(|entry| entry.offset < oldest) {
+            self.decided_offsets.remove(&entry.id);
         }
-        while self.changed_order.first().is_some_and(|x| x.0 < from) {
-            if let Some((_, key)) = self.changed_order.pop_first() {
-                self.changed.remove(&key);
+        while self
+            .last_changes_by_offset
+            .first()
+            .is_some_and(|x| x.0 < oldest)
+        {
+            if let Some((_, key)) = self.last_changes_by_offset.pop_first() {
+                self.last_changes.remove(&key);
             }
         }
     }
 
-    /// Lists everything that a checkpoint carries.
+    /// Iterates over the items of a checkpoint.
     pub(crate) fn checkpoint_items(&self) -> impl Iterator<Item = CheckpointItem> + '_ {
         let objects = self.store.objects().map(CheckpointItem::Object);
-        let changed = self.changed_order.iter();
-        let changed = changed.map(|(offset, key)| CheckpointItem::Changed {
+        let last_changes = self.last_changes_by_offset.iter();
+        let last_changes = last_changes.map(|(offset, key)| CheckpointItem::Changed {
             key: key.clone(),
             offset: *offset,
         });
         let history = self.history.iter().cloned().map(CheckpointItem::Decided);
-        objects.chain(changed).chain(history)
+        objects.chain(last_changes).chain(history)
     }
 
-    /// Builds the state that a checkpoint carries; `None` when it could not
-    /// have been the state of any instance.
+    /// Builds the state from the parts of a checkpoint. Returns `None` if no instance could
+    /// have had this state.
     pub(crate) fn from_checkpoint(next: Offset, parts: &[CheckpointPart]) -> Option<Self> {
         let mut state = Self {
             next,
@@ -281,15 +289,15 @@
                     touched.insert(object.key()) && state.store.put(object.clone()).is_none()
                 }
                 CheckpointItem::Changed { key, offset } => {
-                    let is_new = !state.changed.contains_key(key);
+                    let is_new = !state.last_changes.contains_key(key);
                     state.mark_changed(key.clone(), *offset);
-                    is_new && state.is_remembered(*offset)
+                    is_new && state.is_retained(*offset)
                 }
                 CheckpointItem::Decided(entry) => {
                     let is_later = state.history.back().is_none_or(|x| x.offset < entry.offset);
-                    let is_new = !state.decided.contains_key(&entry.id);
-                    state.remember(entry.clone());
-                    is_new && is_later && state.is_remembered(entry.offset)
+                    let is_new = !state.decided_offsets.contains_key(&entry.id);
+                    state.add_to_history(entry.clone());
+                    is_new && is_later && state.is_retained(entry.offset)
                 }
             };
             if !is_new {
@@ -301,19 +309,19 @@
             .then_some(state)
     }
 
-    fn is_remembered(&self, offset: Offset) -> bool {
-        offset < self.next && offset >= remembered_from(self.next)
+    fn is_retained(&self, offset: Offset) -> bool {
+        offset < self.next && offset >= retained_from(self.next)
     }
 }
 
-/// Returns the oldest offset that the state at `next` remembers.
-fn remembered_from(next: Offset) -> Offset {
+/// Returns the oldest offset that the state at `next` retains.
+fn retained_from(next: Offset) -> Offset {
     Offset(next.0.saturating_sub(RETAINED_OFFSETS))
 }
 
-/// Finds what no plan could have produced; such a record leaves no trace, so
-/// that nobody can use up another change's identifier.
-fn forged(offset: Offset, change: &Change) -> Option<InvalidReason> {
+/// Returns a defect that no planned change can have. A record with such a defect is not
+/// added to the history, so that it cannot occupy the identifier of another change.
+fn find_forgery(offset: Offset, change: &Change) -> Option<InvalidReason> {
     if !is_valid_name(change.operator.as_str()) {
         return Some(InvalidReason::BadOperator);
     }
@@ -325,23 +333,23 @@
 
 fn touched_keys(ops: &[ChangeOp]) -> Result<BTreeSet<ObjectKey>, Vec<InvalidReason>> {
     let mut touched = BTreeSet::new();
-    let mut twice = Vec::new();
+    let mut duplicates = Vec::new();
     for op in ops {
         let key = op.key();
         if touched.contains(&key) {
-            twice.push(InvalidReason::DuplicateStep(key));
+            duplicates.push(InvalidReason::DuplicateStep(key));
         } else {
             touched.insert(key);
         }
     }
-    if twice.is_empty() {
+    if duplicates.is_empty() {
         return Ok(touched);
     }
-    twice.truncate(MAX_REASONS);
-    Err(twice)
+    duplicates.truncate(MAX_REASONS);
+    Err(duplicates)
 }
 
-/// What has to be put back to undo steps; the keys are all different.
+/// Data to undo applied steps. All keys are different.
 pub(crate) struct Undo {
     replaced: Vec<Object>,
     created: Vec<ObjectKey>,
@@ -358,8 +366,8 @@
     }
 }
 
-/// Carries out the steps and returns how to undo them.
-pub(crate) fn swap_ops(store: &mut Store, ops: &[ChangeOp]) -> Undo {
+/// Applies the steps and returns the data to undo them.
+pub(crate) fn apply_ops(store: &mut Store, ops: &[ChangeOp]) -> Undo {
     let mut undo = Undo {
         replaced: Vec::new(),
         created: Vec::new(),
--- a/crates/core/src/config/store.rs
+++ b/crates/core/src/config/store.rs
@@ -1,4 +1,4 @@
-//! The objects in force, by kind and name.
+//! Objects in force, by kind and name.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -7,7 +7,7 @@
     objects::{Backend, Model, Object, ObjectKey, ObjectKind, Pipeline, Pool, Workspace},
 };
 
-/// Objects by name. Values are shared, so that a clone for readers is cheap.
+/// Objects by name. Values are reference-counted, so that clones for readers are cheap.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Store {
     pub(crate) pools: BTreeMap<PoolName, Arc<Pool>>,
@@ -18,7 +18,7 @@
 }
 
 impl Store {
-    /// Puts an object and returns the one that it replaces.
+    /// Inserts an object and returns the one that it replaces.
     pub(crate) fn put(&mut self, object: Object) -> Option<Object> {
         match object {
             Object::Pool(pool) => self
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Tells whether an object with this key is in force.
+    /// Returns whether an object with this key is in force.
     pub(crate) fn contains(&self, key: &ObjectKey) -> bool {
         let name = key.name.as_str();
         match key.kind {
@@ -83,36 +83,48 @@
         }
     }
 
-    /// Tells whether exactly this object is in force.
-    pub(crate) fn has_same(&self, object: &Object) -> bool {
+    /// Returns whether an identical object is in force.
+    pub(crate) fn contains_identical(&self, object: &Object) -> bool {
         match object {
-            Object::Pool(pool) => self.pools.get(&pool.name).is_some_and(|x| **x == *pool),
+            Object::Pool(pool) => self
+                .pools
+                .get(&pool.name)
+                .is_some_and(|object| **object == *pool),
             Object::Backend(backend) => self
                 .backends
                 .get(&backend.name)
-                .is_some_and(|x| **x == *backend),
-            Object::Model(model) => self.models.get(&model.name).is_some_and(|x| **x == *model),
+                .is_some_and(|object| **object == *backend),
+            Object::Model(model) => self
+                .models
+                .get(&model.name)
+                .is_some_and(|object| **object == *model),
             Object::Pipeline(pipeline) => self
                 .pipelines
                 .get(&pipeline.name)
-                .is_some_and(|x| **x == *pipeline),
+                .is_some_and(|object| **object == *pipeline),
             Object::Workspace(workspace) => self
                 .workspaces
                 .get(&workspace.name)
-                .is_some_and(|x| **x == *workspace),
+                .is_some_and(|object| **object == *workspace),
         }
     }
 
-    /// Copies every object, in the order of kind and name.
+    /// Returns copies of all objects, ordered by kind and name.
     pub(crate) fn objects(&self) -> impl Iterator<Item = Object> + '_ {
-        let pools = self.pools.values().map(|x| Object::Pool((**x).clone()));
+        let pools = self
+            .pools
+            .values()
+            .map(|object| Object::Pool((**object).clone()));
         let backends = self.backends.values();
-        let backends = backends.map(|x| Object::Backend((**x).clone()));
-        let models = self.models.values().map(|x| Object::Model((**x).clone()));
+        let backends = backends.map(|object| Object::Backend((**object).clone()));
+        let models = self
+            .models
+            .values()
+            .map(|object| Object::Model((**object).clone()));
         let pipelines = self.pipelines.values();
-        let pipelines = pipelines.map(|x| Object::Pipeline((**x).clone()));
+        let pipelines = pipelines.map(|object| Object::Pipeline((**object).clone()));
         let workspaces = self.workspaces.values();
-        let workspaces = workspaces.map(|x| Object::Workspace((**x).clone()));
+        let workspaces = workspaces.map(|object| Object::Workspace((**object).clone()));
         pools
             .chain(backends)
             .chain(models)
--- a/crates/core/src/config/verdict.rs
+++ b/crates/core/src/config/verdict.rs
@@ -1,4 +1,4 @@
-//! How records are decided, the same on every instance.
+//! Decisions on records, which are the same on every instance.
 
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
@@ -10,7 +10,7 @@
 };
 
 quick_error! {
-    /// Why a record is not valid.
+    /// Reason why a record is not valid.
     #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
     #[serde(rename_all = "snake_case")]
     pub enum InvalidReason {
@@ -26,11 +26,11 @@
         TooLarge {
             display("the change does not fit a record")
         }
-        /// The operator's name breaks the rule for names.
+        /// The operator's name is not valid.
         BadOperator {
             display("the operator's name is not valid")
         }
-        /// The base lies behind the record itself.
+        /// The base is higher than the offset of the record.
         BaseAhead {
             display("the base is higher than the offset of the record")
         }
@@ -38,7 +38,7 @@
         DuplicateStep(key: ObjectKey) {
             display("{}: more than one step touches it", key)
         }
-        /// A step removes what is not there.
+        /// A step removes an object that does not exist.
         UnknownRemoved(key: ObjectKey) {
             display("{}: to be removed, but not configured", key)
         }
@@ -49,7 +49,7 @@
     }
 }
 
-/// How a change was decided, the same on every instance.
+/// Decision on a change, which is the same on every instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
@@ -57,15 +57,15 @@
     InForce,
     /// Objects that it touches were changed at or after its base.
     Conflict {
-        /// The first of these objects.
+        /// The first of these objects, limited in number.
         touched: Vec<ObjectKey>,
     },
     /// The change or its result is not valid.
     Invalid {
-        /// The first reasons.
+        /// The first reasons, limited in number.
         reasons: Vec<InvalidReason>,
     },
-    /// The base is older than what the state remembers.
+    /// The base is older than the offsets that the state retains.
     TooOld,
 }
 
@@ -97,27 +97,27 @@
     Ok(())
 }
 
-/// What [`State::apply`](crate::config::State::apply) did with a record.
+/// Result of [`State::apply`](crate::config::State::apply).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Applied {
     /// The change is in force.
     InForce,
-    /// The change was decided before; nothing happened.
+    /// The change was decided before, and the record has no effect.
     Repeat {
         /// Offset at which it was decided.
         first: Offset,
     },
     /// Rejected: objects that it touches were changed at or after its base.
     Conflict {
-        /// The first of these objects.
+        /// The first of these objects, limited in number.
         touched: Vec<ObjectKey>,
     },
     /// Rejected: the record or its result is not valid.
     Invalid {
-        /// The first reasons.
+        /// The first reasons, limited in number.
         reasons: Vec<InvalidReason>,
     },
-    /// Rejected: the base is older than what the state remembers.
+    /// Rejected: the base is older than the offsets that the state retains.
     TooOld,
     /// A part of a checkpoint, not the last one.
     CheckpointPart,
@@ -125,7 +125,7 @@
     Checkpoint,
     /// Not applied: records before it are missing.
     Gap {
-        /// Offset that has to come next.
+        /// Next offset to apply.
         expected: Offset,
     },
     /// Not applied: the state already covers this offset.
@@ -143,7 +143,7 @@
     }
 }
 
-/// One decided change.
+/// A decided change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryEntry {
     /// Offset of the record.
@@ -152,6 +152,6 @@
     pub id: ChangeId,
     /// Operator who confirmed it.
     pub operator: OperatorName,
-    /// How it was decided.
+    /// Decision on the change.
     pub verdict: Verdict,
 }
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,16 +1,16 @@
-//! Names and numbers that identify things, each with a type of its own.
+//! Types of names and numbers that identify entities.
 
 use std::{fmt, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
-/// Longest accepted name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 63;
 
 /// Length of a SHA-256 digest in hex.
 const SHA256_HEX_DIGITS: usize = 64;
 
-macro_rules! names {
+macro_rules! define_names {
     ($($(#[$doc:meta])* $name:ident;)+) => {$(
         $(#[$doc])*
         #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -23,7 +23,7 @@
                 Self(Arc::from(name.as_ref()))
             }
 
-            /// Borrows the name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -49,7 +49,7 @@
     )+};
 }
 
-names! {
+define_names! {
     /// Name of a workspace.
     WorkspaceName;
     /// Name of a pipeline.
@@ -68,29 +68,29 @@
     RegionName;
     /// Name of a model.
     ModelName;
-    /// Identifier of one request, unique within its workspace's traffic.
+    /// Identifier of a request, unique within its workspace.
     RequestId;
-    /// A caller's idempotency key, scoped by its workspace.
+    /// Idempotency key of a caller, scoped to its workspace.
     IdempotencyKey;
-    /// Identifier of one proposed change of configuration.
+    /// Identifier of a proposed change of the configuration.
     ChangeId;
     /// Name of the operator who proposed a change.
     OperatorName;
 }
 
-/// Tells whether `name` is 1 to 63 lower-case letters, digits, `-` or `.`,
-/// beginning and ending with a letter or digit.
+/// Returns whether `name` consists of 1 to 63 lower-case letters, digits, `-` or `.`,
+/// starting and ending with a letter or digit.
 pub fn is_valid_name(name: &str) -> bool {
     let bytes = name.as_bytes();
-    let edge = |b: &u8| b.is_ascii_lowercase() || b.is_ascii_digit();
-    let inner = |b: &u8| edge(b) || matches!(b, b'-' | b'.');
+    let is_edge = |b: &u8| b.is_ascii_lowercase() || b.is_ascii_digit();
+    let is_inner = |b: &u8| is_edge(b) || matches!(b, b'-' | b'.');
     bytes.len() <= MAX_NAME_BYTES
-        && bytes.first().is_some_and(edge)
-        && bytes.last().is_some_and(edge)
-        && bytes.iter().all(inner)
+        && bytes.first().is_some_and(is_edge)
+        && bytes.last().is_some_and(is_edge)
+        && bytes.iter().all(is_inner)
 }
 
-/// Tells whether `text` is a SHA-256 digest in lower-case hex.
+/// Returns whether `text` is a SHA-256 digest in lower-case hex.
 pub fn is_sha256(text: &str) -> bool {
     let is_digit = |b: u8| matches!(b, b'0'..=b'9' | b'a'..=b'f');
     text.len() == SHA256_HEX_DIGITS && text.bytes().all(is_digit)
@@ -104,8 +104,8 @@
 pub struct Offset(pub u64);
 
 impl Offset {
-    /// Returns the offset that follows this one; the last one follows itself, so
-    /// that no record takes a reader back to the beginning.
+    /// Returns the next offset. The last offset follows itself, so that no record moves a
+    /// reader back to the beginning.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0.saturating_add(1))
@@ -118,8 +118,8 @@
     }
 }
 
-/// Random number that tells one run of an instance from every other run,
-/// also of an instance with the same name and address.
+/// Random number that identifies one run of an instance, also among runs with the same
+/// name and address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
--- a/crates/core/src/objects.rs
+++ b/crates/core/src/objects.rs
@@ -1,5 +1,4 @@
-//! What an operator configures: pools, backend servers, models, pipelines and
-//! workspaces.
+//! Configurable objects: pools, backend servers, models, pipelines and workspaces.
 
 use std::{fmt, net::SocketAddr};
 
@@ -9,7 +8,7 @@
     BackendName, ModelName, PipelineName, PoolName, StageName, WorkspaceName, ZoneName,
 };
 
-/// Kind of work a pool does and a stage asks for.
+/// Kind of work that a pool does and a stage requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StageKind {
@@ -38,11 +37,11 @@
     }
 }
 
-/// Whether the engines of a pool refuse an order with an old fencing number.
+/// Whether the engines of a pool refuse orders with an old fencing number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fencing {
-    /// An order carrying an old number is refused.
+    /// Orders with an old number are refused.
     Checked,
     /// The number is ignored.
     #[default]
@@ -57,26 +56,26 @@
     pub name: PoolName,
     /// Work that its backend servers do.
     pub kind: StageKind,
-    /// Price of one busy second, in millionths of the accounting currency.
+    /// Price of a busy second, in millionths of the accounting currency.
     pub price_micros_per_s: u64,
     /// Whether its engines check fencing numbers.
     #[serde(default)]
     pub fencing: Fencing,
 }
 
-/// A backend server as the operator declares it.
+/// A backend server as declared by the operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Backend {
     /// Name of the backend server.
     pub name: BackendName,
-    /// Pool that it belongs to.
+    /// Pool of the backend server.
     pub pool: PoolName,
-    /// Availability zone that it stands in.
+    /// Availability zone of the backend server.
     pub zone: ZoneName,
-    /// Address that it serves on.
+    /// Address of the backend server.
     pub addr: SocketAddr,
-    /// Calls that it works on at the same time.
+    /// Maximum number of concurrent calls.
     pub slots: u32,
 }
 
@@ -90,7 +89,7 @@
     pub pool: PoolName,
     /// Size of its weights, in MB.
     pub size_mb: u64,
-    /// Fewest engines of each availability zone that keep it loaded.
+    /// Minimum number of engines in each availability zone that keep the model loaded.
     pub min_replicas: u32,
 }
 
@@ -100,15 +99,15 @@
 pub struct Stage {
     /// Name of the stage.
     pub name: StageName,
-    /// Pool whose backend servers run it; its kind is the stage's kind.
+    /// Pool whose backend servers run the stage. Its kind is the stage's kind.
     pub pool: PoolName,
-    /// Model that it needs, for generation.
+    /// Model that the stage needs, for generation.
     #[serde(default)]
     pub model: Option<ModelName>,
-    /// Whether a call may be sent again after an earlier one may have run.
+    /// Whether a call may be retried after an earlier one may have run.
     #[serde(default = "idempotent_by_default")]
     pub idempotent: bool,
-    /// Most tokens that it may generate.
+    /// Maximum number of tokens to generate.
     #[serde(default)]
     pub max_tokens: u32,
 }
@@ -123,48 +122,48 @@
 pub struct Pipeline {
     /// Name of the pipeline.
     pub name: PipelineName,
-    /// Time from a request's arrival to its whole answer, in ms.
+    /// Maximum time from the arrival of a request to its complete response, in ms.
     pub deadline_ms: u64,
     /// Stages in the order in which they run.
     pub stages: Vec<Stage>,
 }
 
 impl Pipeline {
-    /// Tells whether every stage may be sent again.
+    /// Returns whether every stage may be retried.
     pub fn is_idempotent(&self) -> bool {
         self.stages.iter().all(|stage| stage.idempotent)
     }
 }
 
-/// What an operator weighs more heavily for a workspace.
+/// Objective that has priority for a workspace.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Objective {
-    /// Answers within the deadline, at more cost where needed.
+    /// Responses within the deadline, at a higher cost where necessary.
     #[default]
     Attainment,
-    /// Cost by stage, with answers still on time.
+    /// Low cost of each stage, with responses still within the deadline.
     Cost,
 }
 
-/// A team's share of the system.
+/// Share of the system for one team.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
     /// Name of the workspace.
     pub name: WorkspaceName,
-    /// SHA-256 of the credential its callers present, in lower-case hex.
+    /// SHA-256 of the credential that its callers present, in lower-case hex.
     pub credential_sha256: String,
     /// Pipelines that its callers may use.
     pub pipelines: Vec<PipelineName>,
-    /// Weight of its share under pressure.
+    /// Weight of its share under overload.
     pub weight: u32,
-    /// Requests a second that it may send over the whole deployment.
+    /// Maximum requests per second over the whole deployment.
     pub quota_per_s: u32,
-    /// What its operator weighs more heavily.
+    /// Objective that has priority.
     #[serde(default)]
     pub objective: Objective,
-    /// Share of requests to answer completely within the deadline, per mille.
+    /// Target share of requests with a complete response within the deadline, per mille.
     #[serde(default = "default_attainment_per_mille")]
     pub attainment_per_mille: u32,
 }
