--- a/crates/core/src/config/store.rs
+++ b/crates/core/src/config/store.rs
@@ -89,23 +89,23 @@
             Object::Pool(pool) => self
                 .pools
                 .get(&pool.name)
-                .is_some_and(|object| **object == *pool),
+                .is_some_and(|stored| **stored == *pool),
             Object::Backend(backend) => self
                 .backends
                 .get(&backend.name)
-                .is_some_and(|object| **object == *backend),
+                .is_some_and(|stored| **stored == *backend),
             Object::Model(model) => self
                 .models
                 .get(&model.name)
-                .is_some_and(|object| **object == *model),
+                .is_some_and(|stored| **stored == *model),
             Object::Pipeline(pipeline) => self
                 .pipelines
                 .get(&pipeline.name)
-                .is_some_and(|object| **object == *pipeline),
+                .is_some_and(|stored| **stored == *pipeline),
             Object::Workspace(workspace) => self
                 .workspaces
                 .get(&workspace.name)
-                .is_some_and(|object| **object == *workspace),
+                .is_some_and(|stored| **stored == *workspace),
         }
     }
 
--- a/crates/core/tests/config_confirm.rs
+++ b/crates/core/tests/config_confirm.rs
@@ -1,4 +1,4 @@
-//! Confirming plans through races, lost answers and a log that is away.
+//! Confirmation of plans under races, lost responses and an unavailable log.
 
 mod config_fixtures;
 
@@ -21,7 +21,7 @@
     world
 }
 
-/// Plans at `node` to set the price of the pool `llm`.
+/// Plans a price change of the pool `llm` on `node`.
 fn plan(world: &World, node: usize, price: u64) -> Change {
     let intent = Intent {
         pools: vec![pool("llm", price)],
@@ -39,13 +39,13 @@
     confirm.poll(world.now_ms, world.nodes[node].follower.state())
 }
 
-/// Appends, as the log sees it; the caller decides what the answer was.
+/// Appends the change to the log. The caller passes on the result.
 fn append(world: &mut World, node: usize, confirm: &mut Confirm) {
     assert_eq!(poll(world, node, confirm), ConfirmStep::Append);
     world.append(ConfigRecord::Change(confirm.change().clone()));
 }
 
-fn outcome(world: &mut World, node: usize, confirm: &mut Confirm) -> ConfirmOutcome {
+fn run_to_end(world: &mut World, node: usize, confirm: &mut Confirm) -> ConfirmOutcome {
     for _ in 0..2 * DEADLINE_MS {
         match poll(world, node, confirm) {
             ConfirmStep::Done(outcome) => return outcome,
@@ -53,7 +53,7 @@
             ConfirmStep::WaitUntil(_) => world.run_for(1),
         }
     }
-    panic!("never over")
+    panic!("the confirmation did not end")
 }
 
 #[test]
@@ -66,10 +66,13 @@
     first.on_append(world.now_ms, AppendResult::Appended);
     second.on_append(world.now_ms, AppendResult::Appended);
     let offset = Offset(1);
-    let won = ConfirmOutcome::InForce { offset };
-    assert_eq!(outcome(&mut world, 7, &mut second), won);
-    let lost = outcome(&mut world, 3, &mut first);
-    assert!(matches!(lost, ConfirmOutcome::Conflict { .. }), "{lost:?}");
+    let in_force = ConfirmOutcome::InForce { offset };
+    assert_eq!(run_to_end(&mut world, 7, &mut second), in_force);
+    let rejected = run_to_end(&mut world, 3, &mut first);
+    assert!(
+        matches!(rejected, ConfirmOutcome::Conflict { .. }),
+        "{rejected:?}"
+    );
     world.run_for(2_000);
     for node in &world.nodes {
         let state = node.follower.state();
@@ -90,7 +93,7 @@
     confirm.on_append(world.now_ms, AppendResult::Unanswered);
     let offset = Offset(1);
     let in_force = ConfirmOutcome::InForce { offset };
-    assert_eq!(outcome(&mut world, 0, &mut confirm), in_force);
+    assert_eq!(run_to_end(&mut world, 0, &mut confirm), in_force);
 }
 
 #[test]
@@ -103,13 +106,13 @@
     world.run_for(READ_BACK_MS);
     append(&mut world, 0, &mut confirm);
     confirm.on_append(world.now_ms, AppendResult::Appended);
-    // Between the two another operator changes the same object.
-    let later = put_pool(1, "llm", 30);
-    world.log.records.insert(2, (world.now_ms, later));
+    // Another operator changes the same object between the two records.
+    let intervening = put_pool(1, "llm", 30);
+    world.log.records.insert(2, (world.now_ms, intervening));
     world.log.faults.hidden_from = None;
     let offset = Offset(1);
     let in_force = ConfirmOutcome::InForce { offset };
-    assert_eq!(outcome(&mut world, 0, &mut confirm), in_force);
+    assert_eq!(run_to_end(&mut world, 0, &mut confirm), in_force);
     world.run_for(2_000);
     assert_eq!(world.next_of(0), 4);
     assert_eq!(world.nodes[0].follower.state().history().len(), 3);
@@ -138,23 +141,23 @@
     append(&mut world, 0, &mut first);
     first.on_append(world.now_ms, AppendResult::Unanswered);
     let undecided = ConfirmOutcome::Undecided;
-    assert_eq!(outcome(&mut world, 0, &mut first), undecided);
+    assert_eq!(run_to_end(&mut world, 0, &mut first), undecided);
     world.log.faults.hidden_from = None;
     world.run_for(2_000);
-    // Any other instance can tell as well.
+    // Any other instance returns the same outcome.
     let mut again = confirm(&world, change);
     let offset = Offset(1);
     let in_force = ConfirmOutcome::InForce { offset };
-    assert_eq!(outcome(&mut world, 5, &mut again), in_force);
+    assert_eq!(run_to_end(&mut world, 5, &mut again), in_force);
 }
 
 #[test]
-fn an_altered_plan_is_refused_before_it_reaches_the_log() {
+fn an_altered_plan_is_refused_before_it_is_appended() {
     let mut world = world();
     let mut altered = plan(&world, 0, 20);
     altered.operator = "someone-else".into();
     let mut confirm = confirm(&world, altered);
     let reasons = vec![InvalidReason::IdMismatch];
     let invalid = ConfirmOutcome::Invalid { reasons };
-    assert_eq!(outcome(&mut world, 0, &mut confirm), invalid);
+    assert_eq!(run_to_end(&mut world, 0, &mut confirm), invalid);
 }
--- a/crates/core/tests/config_fixtures/mod.rs
+++ b/crates/core/tests/config_fixtures/mod.rs
@@ -1,4 +1,4 @@
-//! Small configurations and records for the tests of `config`.
+//! Small configurations and records for the tests of the `config` module.
 #![allow(dead_code)]
 
 use savoryvane_core::{
--- a/crates/core/tests/config_fixtures/world.rs
+++ b/crates/core/tests/config_fixtures/world.rs
@@ -1,4 +1,4 @@
-//! A log, links and many followers on one simulated clock.
+//! Simulation of a log, links and many followers on one clock.
 
 use std::{cmp::Reverse, collections::BinaryHeap};
 
@@ -22,9 +22,9 @@
 pub struct Faults {
     pub outage: bool,
     pub slow_ms: u64,
-    /// Records from this offset on are not delivered, though the head shows them.
+    /// Records from this offset on are not delivered, although the head includes them.
     pub hidden_from: Option<u64>,
-    /// The record at this offset is left out of deliveries.
+    /// The record at this offset is omitted from deliveries.
     pub missing: Option<u64>,
 }
 
@@ -46,19 +46,19 @@
 
 pub struct Node {
     pub follower: Follower,
-    /// Neither log nor peers are reached.
+    /// Neither the log nor peers are reachable.
     pub is_cut: bool,
-    /// Only the log is not reached.
+    /// The log is unreachable, but peers are reachable.
     pub is_off_log: bool,
-    /// It takes no event at all.
+    /// The node processes no events.
     is_frozen: bool,
     pub actions: Vec<Action>,
-    /// Start of its clock.
-    born_ms: u64,
-    next_seen: Offset,
-    /// The read that the log has open: its first offset and its end.
-    reading: Option<(u64, u64)>,
-    /// What arrived while it was frozen.
+    /// Start of the node's clock, in ms.
+    clock_start_ms: u64,
+    highest_next: Offset,
+    /// First offset and end time, in ms, of the open read of the log.
+    open_read: Option<(u64, u64)>,
+    /// Tasks that arrived while the node was frozen.
     backlog: Vec<Task>,
 }
 
@@ -73,7 +73,7 @@
     pub log: Log,
     pub nodes: Vec<Node>,
     pub retention_ms: u64,
-    /// Whole states that were passed between nodes.
+    /// Number of complete states sent between nodes.
     pub snapshots: u64,
     tasks: BinaryHeap<Reverse<(u64, u64, usize)>>,
     payloads: Vec<Option<Task>>,
@@ -115,29 +115,29 @@
             is_off_log: false,
             is_frozen: false,
             actions: Vec::new(),
-            born_ms: self.now_ms,
-            next_seen: Offset::default(),
-            reading: None,
+            clock_start_ms: self.now_ms,
+            highest_next: Offset::default(),
+            open_read: None,
             backlog: Vec::new(),
         });
         self.assign_duties();
         let phase_ms = self.rng.random_range(0..TICK_MS);
-        self.after(phase_ms, index, Task::Tick);
-        self.after(phase_ms, index, Task::Report);
+        self.schedule(phase_ms, index, Task::Tick);
+        self.schedule(phase_ms, index, Task::Report);
         index
     }
 
-    /// Freezes a process, or thaws it to find what arrived meanwhile.
+    /// Freezes a node, or thaws it and delivers the tasks that arrived meanwhile.
     pub fn set_frozen(&mut self, node: usize, is_frozen: bool) {
         self.nodes[node].is_frozen = is_frozen;
         if !is_frozen {
             for task in std::mem::take(&mut self.nodes[node].backlog) {
-                self.after(0, node, task);
+                self.schedule(0, node, task);
             }
         }
     }
 
-    /// Ranks the nodes that are not frozen.
+    /// Assigns duties to the nodes that are not frozen, by rank.
     pub fn assign_duties(&mut self) {
         let live: Vec<_> = (0..self.nodes.len())
             .filter(|node| !self.nodes[*node].is_frozen)
@@ -147,21 +147,21 @@
                 follows_log: rank < TAILERS,
                 checkpoint_rank: rank as u64,
             };
-            self.after(0, node, Task::Event(Event::Duties(duties)));
+            self.schedule(0, node, Task::Event(Event::Duties(duties)));
         }
     }
 
     pub fn append(&mut self, record: ConfigRecord) {
         self.log.records.push((self.now_ms, record));
         for node in 0..self.nodes.len() {
-            if self.nodes[node].reading.is_some() {
-                self.after(0, node, Task::ServeRead);
+            if self.nodes[node].open_read.is_some() {
+                self.schedule(0, node, Task::ServeRead);
             }
         }
     }
 
-    pub fn run_for(&mut self, span_ms: u64) {
-        let end_ms = self.now_ms + span_ms;
+    pub fn run_for(&mut self, duration_ms: u64) {
+        let end_ms = self.now_ms + duration_ms;
         while let Some(Reverse((at_ms, id, node))) = self.tasks.peek().copied()
             && at_ms <= end_ms
         {
@@ -175,17 +175,17 @@
         self.now_ms = end_ms;
     }
 
-    /// Runs until every node that `counts` has `next`, and returns how long
-    /// that took; `None` when it took longer than `limit_ms`.
+    /// Runs until every node selected by `is_counted` has reached `next`. Returns the elapsed
+    /// time in ms, or `None` if it exceeded `limit_ms`.
     pub fn run_until_in_force(
         &mut self,
         next: u64,
         limit_ms: u64,
-        counts: impl Fn(&Node) -> bool,
+        is_counted: impl Fn(&Node) -> bool,
     ) -> Option<u64> {
         let start_ms = self.now_ms;
         while self.now_ms - start_ms <= limit_ms {
-            let mut counted = self.nodes.iter().filter(|node| counts(node));
+            let mut counted = self.nodes.iter().filter(|node| is_counted(node));
             if counted.all(|node| node.follower.state().next().0 >= next) {
                 return Some(self.now_ms - start_ms);
             }
@@ -196,7 +196,7 @@
 
     pub fn progress(&self, node: usize) -> Progress {
         let node = &self.nodes[node];
-        node.follower.progress(self.now_ms - node.born_ms)
+        node.follower.progress(self.now_ms - node.clock_start_ms)
     }
 
     pub fn next_of(&self, node: usize) -> u64 {
@@ -204,14 +204,14 @@
     }
 
     fn trim(&mut self) {
-        let kept_since_ms = self.now_ms.saturating_sub(self.retention_ms);
+        let retained_since_ms = self.now_ms.saturating_sub(self.retention_ms);
         let records = &self.log.records;
-        while (records.get(self.log.first as usize)).is_some_and(|x| x.0 < kept_since_ms) {
+        while (records.get(self.log.first as usize)).is_some_and(|x| x.0 < retained_since_ms) {
             self.log.first += 1;
         }
     }
 
-    fn after(&mut self, delay_ms: u64, node: usize, task: Task) {
+    fn schedule(&mut self, delay_ms: u64, node: usize, task: Task) {
         let id = self.payloads.len();
         self.payloads.push(Some(task));
         self.tasks
@@ -224,11 +224,11 @@
         }
         match task {
             Task::Tick => {
-                self.after(TICK_MS, node, Task::Tick);
+                self.schedule(TICK_MS, node, Task::Tick);
                 self.event(node, Event::Tick);
             }
             Task::Report => {
-                self.after(PEER_REPORT_MS, node, Task::Report);
+                self.schedule(PEER_REPORT_MS, node, Task::Report);
                 let next = self.nodes[node].follower.state().next();
                 self.send_neighbours(node, &Event::PeerOffset(next));
             }
@@ -247,26 +247,26 @@
 
     fn event(&mut self, node: usize, event: Event) {
         let state = &mut self.nodes[node];
-        let actions = (state.follower).on_event(self.now_ms - state.born_ms, event);
+        let actions = (state.follower).on_event(self.now_ms - state.clock_start_ms, event);
         let next = self.nodes[node].follower.state().next();
-        assert!(next >= self.nodes[node].next_seen, "the state went back");
-        self.nodes[node].next_seen = next;
+        assert!(next >= self.nodes[node].highest_next, "the state went back");
+        self.nodes[node].highest_next = next;
         for action in actions {
             self.nodes[node].actions.push(action.clone());
-            self.act(node, action);
+            self.perform(node, action);
         }
     }
 
-    fn act(&mut self, node: usize, action: Action) {
+    fn perform(&mut self, node: usize, action: Action) {
         match action {
             Action::Read { from, wait_ms } => {
                 assert_eq!(wait_ms, READ_WAIT_MS);
                 let delay_ms = LINK_MS + self.log.faults.slow_ms;
                 let until_ms = self.now_ms + delay_ms + wait_ms;
-                self.nodes[node].reading = Some((from.0, until_ms));
+                self.nodes[node].open_read = Some((from.0, until_ms));
                 self.log.reads += 1;
-                self.after(delay_ms, node, Task::ServeRead);
-                self.after(delay_ms + wait_ms, node, Task::ServeRead);
+                self.schedule(delay_ms, node, Task::ServeRead);
+                self.schedule(delay_ms + wait_ms, node, Task::ServeRead);
             }
             Action::Relay { head, records } => {
                 self.send_neighbours(node, &Event::Relayed { head, records });
@@ -274,7 +274,7 @@
             Action::QueryPeer { from } => self.ask_peer(node, from),
             Action::WriteCheckpoint(parts) => {
                 let parts = parts.into_iter().map(ConfigRecord::Checkpoint).collect();
-                self.after(LINK_MS, node, Task::AppendParts(parts));
+                self.schedule(LINK_MS, node, Task::AppendParts(parts));
             }
             Action::Decided { .. } | Action::Adopted { .. } => {}
         }
@@ -282,11 +282,11 @@
 
     fn serve_read(&mut self, node: usize) {
         let state = &self.nodes[node];
-        let Some((from, until_ms)) = state.reading else {
+        let Some((from, until_ms)) = state.open_read else {
             return;
         };
         if self.now_ms + READ_WAIT_MS < until_ms {
-            return; // It is still on its way to the log.
+            return; // The read has not reached the log yet.
         }
         let Log {
             faults,
@@ -297,8 +297,8 @@
         let is_lost = state.is_cut || state.is_off_log || faults.slow_ms > READ_TIMEOUT_MS;
         if is_lost {
             let failed = Task::Event(Event::ReadFailed);
-            self.nodes[node].reading = None;
-            return self.after(READ_TIMEOUT_MS, node, failed);
+            self.nodes[node].open_read = None;
+            return self.schedule(READ_TIMEOUT_MS, node, failed);
         }
         let next = records.len() as u64;
         let visible = faults.hidden_from.unwrap_or(next).min(next);
@@ -317,8 +317,8 @@
         } else {
             return;
         };
-        self.nodes[node].reading = None;
-        self.after(LINK_MS, node, Task::Event(event));
+        self.nodes[node].open_read = None;
+        self.schedule(LINK_MS, node, Task::Event(event));
     }
 
     fn received(&self, offset: u64) -> Received {
@@ -341,42 +341,42 @@
         neighbours.dedup();
         for other in neighbours {
             if !self.nodes[node].is_cut && !self.nodes[other].is_cut {
-                self.after(LINK_MS, other, Task::Event(event.clone()));
+                self.schedule(LINK_MS, other, Task::Event(event.clone()));
             }
         }
     }
 
     fn ask_peer(&mut self, node: usize, from: Option<Offset>) {
         let mut snapshot = None;
-        if let Some(peer) = self.peer_of(node) {
-            let asked = &self.nodes[peer];
-            let now_ms = self.now_ms - asked.born_ms;
-            let recent = |from| asked.follower.recent(now_ms, from);
+        if let Some(peer) = self.best_peer(node) {
+            let peer_node = &self.nodes[peer];
+            let now_ms = self.now_ms - peer_node.clock_start_ms;
+            let recent = |from| peer_node.follower.recent(now_ms, from);
             let records = from.map(recent).unwrap_or_default();
-            match asked.follower.head(now_ms) {
+            match peer_node.follower.head(now_ms) {
                 Some(head) if !records.is_empty() => {
                     let relayed = Event::Relayed { head, records };
-                    self.after(2 * LINK_MS, node, Task::Event(relayed));
+                    self.schedule(2 * LINK_MS, node, Task::Event(relayed));
                 }
                 _ => {
                     self.snapshots += 1;
                     snapshot = Some(Box::new(Snapshot {
-                        state: asked.follower.state().clone(),
+                        state: peer_node.follower.state().clone(),
                         age_ms: self.progress(peer).age_ms,
                     }));
                 }
             }
         }
-        self.after(2 * LINK_MS, node, Task::Event(Event::Snapshot(snapshot)));
+        self.schedule(2 * LINK_MS, node, Task::Event(Event::Snapshot(snapshot)));
     }
 
-    fn peer_of(&self, node: usize) -> Option<usize> {
-        let is_reached = |other: &usize| {
+    fn best_peer(&self, node: usize) -> Option<usize> {
+        let is_reachable = |other: &usize| {
             let peer = &self.nodes[*other];
             let is_up = !peer.is_cut && !peer.is_frozen && !self.nodes[node].is_cut;
             *other != node && is_up && self.progress(*other).has_started
         };
-        let reached = (0..self.nodes.len()).filter(is_reached);
-        reached.max_by_key(|other| self.next_of(*other))
+        let reachable = (0..self.nodes.len()).filter(is_reachable);
+        reachable.max_by_key(|other| self.next_of(*other))
     }
 }
--- a/crates/core/tests/config_follower.rs
+++ b/crates/core/tests/config_follower.rs
@@ -1,4 +1,4 @@
-//! Following the stream through failures of the log, of peers and of links.
+//! Following the configuration stream under failures of the log, peers and links.
 
 mod config_fixtures;
 
@@ -13,13 +13,14 @@
 };
 
 const HOUR_MS: u64 = 3_600_000;
-const LIMIT_MS: u64 = 4_000;
+const PROPAGATION_LIMIT_MS: u64 = 4_000;
 
-/// Starts `nodes` followers that are at the head of a log with `changes`.
+/// Starts `nodes` followers and lets them reach the head of a log with `changes`
+/// changes.
 fn world(nodes: usize, changes: u64, seed: u64) -> World {
     let mut world = World::new(nodes, HOUR_MS, seed);
     for _ in 0..changes {
-        change(&mut world);
+        append_change(&mut world);
     }
     world.run_for(3_000);
     for node in 0..nodes {
@@ -29,18 +30,18 @@
 }
 
 /// Appends a change and returns the offset that follows it.
-fn change(world: &mut World) -> u64 {
+fn append_change(world: &mut World) -> u64 {
     let base = world.log.records.len() as u64;
     world.append(put_pool(base, &format!("pool-{}", base % 7), base));
     base + 1
 }
 
-/// Applies every record ever appended, whether the log still keeps it or not.
-fn replayed(world: &World) -> State {
-    replayed_to(world, Offset(world.log.records.len() as u64))
+/// Applies all records ever appended, including those that the log has trimmed.
+fn replay_all(world: &World) -> State {
+    replay_to(world, Offset(world.log.records.len() as u64))
 }
 
-fn replayed_to(world: &World, next: Offset) -> State {
+fn replay_to(world: &World, next: Offset) -> State {
     let mut state = State::new();
     for (_, record) in &world.log.records[..next.0 as usize] {
         state.apply(state.next(), record);
@@ -48,7 +49,7 @@
     state
 }
 
-fn all(_: &Node) -> bool {
+fn every_node(_: &Node) -> bool {
     true
 }
 
@@ -56,8 +57,8 @@
 fn in_force_on_9_and_95_instances_within_4_s() {
     for nodes in [9, 95] {
         let mut world = world(nodes, 3, 1);
-        let next = change(&mut world);
-        let took_ms = world.run_until_in_force(next, LIMIT_MS, all);
+        let next = append_change(&mut world);
+        let took_ms = world.run_until_in_force(next, PROPAGATION_LIMIT_MS, every_node);
         println!("{nodes} instances, nothing failing: {took_ms:?} ms");
         assert!(took_ms.is_some());
     }
@@ -72,8 +73,9 @@
             world.set_frozen(0, true);
             world.set_frozen(1, true);
             world.run_for(seed * 97);
-            let next = change(&mut world);
-            let took_ms = world.run_until_in_force(next, LIMIT_MS, |node| !node.is_frozen());
+            let next = append_change(&mut world);
+            let took_ms =
+                world.run_until_in_force(next, PROPAGATION_LIMIT_MS, |node| !node.is_frozen());
             slowest_ms = slowest_ms.max(took_ms.expect("within the limit"));
         }
         println!("{nodes} instances, both tailers frozen: {slowest_ms} ms");
@@ -88,8 +90,8 @@
             let mut world = world(nodes, 3, seed);
             world.log.faults.slow_ms = 900;
             world.run_for(5_000 + seed * 97);
-            let next = change(&mut world);
-            let took_ms = world.run_until_in_force(next, LIMIT_MS, all);
+            let next = append_change(&mut world);
+            let took_ms = world.run_until_in_force(next, PROPAGATION_LIMIT_MS, every_node);
             slowest_ms = slowest_ms.max(took_ms.expect("within the limit"));
         }
         println!("{nodes} instances, log slower by 900 ms: {slowest_ms} ms");
@@ -103,9 +105,13 @@
     world.run_for(60_000);
     let polls = world.log.reads;
     assert!(polls <= 2 * 130, "{polls} polls in 60 s by 2 tailers");
-    let next = change(&mut world);
+    let next = append_change(&mut world);
     world.log.reads = 0;
-    assert!(world.run_until_in_force(next, LIMIT_MS, all).is_some());
+    assert!(
+        world
+            .run_until_in_force(next, PROPAGATION_LIMIT_MS, every_node)
+            .is_some()
+    );
     world.run_for(1_000);
     let polls = world.log.reads;
     assert!(polls <= 10, "{polls} polls in 1 s after a change");
@@ -115,14 +121,18 @@
 fn a_delivery_gap_is_read_again_and_never_applied_across() {
     let mut world = world(9, 3, 4);
     world.log.faults.missing = Some(3);
-    change(&mut world);
-    let next = change(&mut world);
+    append_change(&mut world);
+    let next = append_change(&mut world);
     world.run_for(3_000);
     assert!((0..9).all(|node| world.next_of(node) == 3));
     assert!(world.nodes[0].follower.ignored().gaps > 0);
     world.log.faults.missing = None;
-    assert!(world.run_until_in_force(next, LIMIT_MS, all).is_some());
-    let expected = replayed(&world);
+    assert!(
+        world
+            .run_until_in_force(next, PROPAGATION_LIMIT_MS, every_node)
+            .is_some()
+    );
+    let expected = replay_all(&world);
     assert!(world.nodes.iter().all(|x| *x.follower.state() == expected));
 }
 
@@ -130,11 +140,15 @@
 fn records_held_back_by_the_log_come_from_a_peer_that_has_them() {
     let mut world = world(9, 3, 5);
     world.nodes[8].is_cut = true;
-    let next = change(&mut world);
+    let next = append_change(&mut world);
     world.run_for(1_000);
     world.log.faults.hidden_from = Some(3);
     world.nodes[8].is_cut = false;
-    assert!(world.run_until_in_force(next, LIMIT_MS, all).is_some());
+    assert!(
+        world
+            .run_until_in_force(next, PROPAGATION_LIMIT_MS, every_node)
+            .is_some()
+    );
     assert_eq!(world.snapshots, 0, "records are enough");
 }
 
@@ -143,7 +157,7 @@
     let mut world = world(9, 3, 6);
     world.nodes[8].is_cut = true;
     for _ in 0..5 {
-        change(&mut world);
+        append_change(&mut world);
     }
     world.run_for(1_000);
     let parts = world.nodes[0].follower.state().checkpoint();
@@ -151,21 +165,21 @@
         world.append(ConfigRecord::Checkpoint(part));
     }
     world.log.first = 6;
-    let next = change(&mut world);
+    let next = append_change(&mut world);
     world.run_for(1_000);
     for node in 0..8 {
-        // Peers can't help: only the log is left.
+        // Peers do not respond, so only the log is available.
         world.set_frozen(node, true);
     }
     world.nodes[8].is_cut = false;
-    let took_ms = world.run_until_in_force(next, LIMIT_MS, |node| !node.is_frozen());
+    let took_ms = world.run_until_in_force(next, PROPAGATION_LIMIT_MS, |node| !node.is_frozen());
     assert!(took_ms.is_some());
     let adopted = Action::Adopted {
         source: Source::Checkpoint,
         next: Offset(8),
     };
     assert!(world.nodes[8].actions.contains(&adopted));
-    assert_eq!(*world.nodes[8].follower.state(), replayed(&world));
+    assert_eq!(*world.nodes[8].follower.state(), replay_all(&world));
 }
 
 #[test]
@@ -181,7 +195,7 @@
     assert_eq!(covers.collect::<Vec<_>>(), [Offset(3)]);
     let new = world.add_node();
     world.run_for(2_000);
-    assert_eq!(*world.nodes[new].follower.state(), replayed(&world));
+    assert_eq!(*world.nodes[new].follower.state(), replay_all(&world));
 }
 
 #[test]
@@ -196,22 +210,30 @@
     assert_eq!(world.next_of(new), 5);
     assert!(progress.age_ms.unwrap() >= 10_000, "{progress:?}");
     world.log.faults.outage = false;
-    let next = change(&mut world);
-    assert!(world.run_until_in_force(next, LIMIT_MS, all).is_some());
+    let next = append_change(&mut world);
+    assert!(
+        world
+            .run_until_in_force(next, PROPAGATION_LIMIT_MS, every_node)
+            .is_some()
+    );
 }
 
 #[test]
 fn an_instance_that_was_cut_off_keeps_its_state_says_its_age_and_catches_up() {
     let mut world = world(9, 3, 9);
     world.nodes[4].is_cut = true;
-    let next = change(&mut world);
+    let next = append_change(&mut world);
     world.run_for(20_000);
     assert_eq!(world.next_of(4), 3);
     let progress = world.progress(4);
     assert!(progress.age_ms.unwrap() >= 19_000, "{progress:?}");
     assert!(world.progress(5).age_ms.unwrap() < 1_000);
     world.nodes[4].is_cut = false;
-    assert!(world.run_until_in_force(next, LIMIT_MS, all).is_some());
+    assert!(
+        world
+            .run_until_in_force(next, PROPAGATION_LIMIT_MS, every_node)
+            .is_some()
+    );
 }
 
 #[test]
@@ -221,8 +243,12 @@
         world.nodes[node].is_off_log = true;
     }
     world.run_for(3_000);
-    let next = change(&mut world);
-    assert!(world.run_until_in_force(next, LIMIT_MS, all).is_some());
+    let next = append_change(&mut world);
+    assert!(
+        world
+            .run_until_in_force(next, PROPAGATION_LIMIT_MS, every_node)
+            .is_some()
+    );
 }
 
 #[test]
@@ -230,7 +256,7 @@
     let mut world = world(9, 3, 11);
     world.nodes[8].is_cut = true;
     for _ in 0..4 {
-        change(&mut world);
+        append_change(&mut world);
     }
     world.run_for(2_000);
     let old = Snapshot {
@@ -238,8 +264,8 @@
         age_ms: Some(0),
     };
     for node in &mut world.nodes[..8] {
-        let offered = Event::Snapshot(Some(Box::new(old.clone())));
-        node.follower.on_event(world.now_ms, offered);
+        let snapshot_event = Event::Snapshot(Some(Box::new(old.clone())));
+        node.follower.on_event(world.now_ms, snapshot_event);
         assert_eq!(node.follower.state().next(), Offset(7));
         assert_eq!(node.follower.ignored().snapshots, 1);
     }
@@ -256,18 +282,18 @@
         retention_ms: HOUR_MS,
         seed: 1,
     });
-    change(&mut world);
+    append_change(&mut world);
     let read = Event::Read {
         first: Offset(0),
         next: Offset(4),
         records: Vec::new(),
     };
     new.on_event(1_000, read);
-    let offered = Event::Snapshot(Some(Box::new(old)));
-    new.on_event(1_500, offered.clone());
+    let snapshot_event = Event::Snapshot(Some(Box::new(old)));
+    new.on_event(1_500, snapshot_event.clone());
     assert!(!new.progress(1_500).has_started);
-    // Once the log is silent as well, an old state is better than none.
-    new.on_event(5_000, offered);
+    // Once the log is silent as well, the old state is adopted.
+    new.on_event(5_000, snapshot_event);
     let progress = new.progress(5_000);
     assert!(progress.has_started);
     assert_eq!((progress.next, progress.known_next), (Offset(3), Offset(4)));
@@ -277,17 +303,17 @@
 fn checkpoints_keep_the_configuration_past_the_retention() {
     let mut world = World::new(9, 60_000, 12);
     for _ in 0..5 {
-        change(&mut world);
+        append_change(&mut world);
     }
     let mut written = 0;
     for round in 0..20 {
         world.run_for(30_000);
         written = world.log.records.len() - 5;
-        // Instances come and go; in the end none is left that saw the changes.
+        // Instances are replaced until none is left that applied the changes.
         world.set_frozen(round, true);
         let new = world.add_node();
         world.run_for(3_000);
-        assert_eq!(*world.nodes[new].follower.state(), replayed(&world));
+        assert_eq!(*world.nodes[new].follower.state(), replay_all(&world));
     }
     assert!(world.log.first > 5, "the changes themselves have expired");
     println!("{written} checkpoints in 660 s at a retention of 60 s");
@@ -297,7 +323,7 @@
 #[test]
 fn a_new_instance_renews_a_checkpoint_by_the_age_that_it_has() {
     let mut world = World::new(1, 60_000, 13);
-    change(&mut world);
+    append_change(&mut world);
     world.run_for(25_000);
     assert_eq!(world.log.records.len(), 2, "a checkpoint at about 20 s");
     world.set_frozen(0, true);
@@ -307,12 +333,12 @@
     assert_eq!(world.log.records.len(), 3, "and at about 40 s");
 }
 
-fn any_interleaving(seed: u64, steps: Vec<(u8, u8)>) -> bool {
+fn converges_after_faults(seed: u64, steps: Vec<(u8, u8)>) -> bool {
     let mut world = World::new(5, 20_000, seed);
     for (step, node) in steps {
         let node = usize::from(node) % world.nodes.len();
         match step % 11 {
-            0..3 => drop(change(&mut world)),
+            0..3 => drop(append_change(&mut world)),
             3 => world.log.faults.outage ^= true,
             4 => world.log.faults.slow_ms = u64::from(step) * 5,
             5 => world.log.faults.hidden_from = Some(world.log.records.len() as u64),
@@ -330,18 +356,20 @@
         world.nodes[node].is_cut = false;
         world.nodes[node].is_off_log = false;
     }
-    let next = change(&mut world);
-    let in_force = world.run_until_in_force(next, LIMIT_MS, all).is_some();
-    let is_right = |node: &Node| {
+    let next = append_change(&mut world);
+    let in_force = world
+        .run_until_in_force(next, PROPAGATION_LIMIT_MS, every_node)
+        .is_some();
+    let has_expected_state = |node: &Node| {
         let state = node.follower.state();
-        *state == replayed_to(&world, state.next())
+        *state == replay_to(&world, state.next())
     };
-    in_force && world.nodes.iter().all(is_right)
+    in_force && world.nodes.iter().all(has_expected_state)
 }
 
 #[test]
 fn any_interleaving_of_failures_ends_in_the_same_state() {
-    let property = any_interleaving as fn(u64, Vec<(u8, u8)>) -> bool;
+    let property = converges_after_faults as fn(u64, Vec<(u8, u8)>) -> bool;
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 7))
         .tests(300)
--- a/crates/core/tests/config_state.rs
+++ b/crates/core/tests/config_state.rs
@@ -1,4 +1,4 @@
-//! The rule by which records change the configuration.
+//! Rule by which records change the configuration.
 
 mod config_fixtures;
 
@@ -48,10 +48,10 @@
 #[test]
 fn a_repeat_does_nothing_whatever_its_first_verdict_was() {
     let mut state = State::new();
-    let refers = ChangeOp::Put(Object::Backend(backend("runner-1", "later", 1)));
-    let early = ConfigRecord::Change(change(0, vec![refers]));
+    let referring = ChangeOp::Put(Object::Backend(backend("runner-1", "later", 1)));
+    let premature = ConfigRecord::Change(change(0, vec![referring]));
     assert!(matches!(
-        apply_next(&mut state, &early),
+        apply_next(&mut state, &premature),
         Applied::Invalid { .. }
     ));
     assert_eq!(
@@ -59,7 +59,10 @@
         Applied::InForce
     );
     let first = Offset(0);
-    assert_eq!(apply_next(&mut state, &early), Applied::Repeat { first });
+    assert_eq!(
+        apply_next(&mut state, &premature),
+        Applied::Repeat { first }
+    );
     assert_eq!(
         apply_next(&mut state, &put_pool(0, "later", 1)),
         Applied::Repeat { first: Offset(1) }
@@ -112,14 +115,14 @@
             key(ObjectKind::Model, "chat"),
         ),
     ];
-    for (op, unfit) in cases {
+    for (op, invalid) in cases {
         let record = ConfigRecord::Change(change(state.next().0, vec![op]));
         let Applied::Invalid { reasons } = apply_next(&mut state, &record) else {
             panic!("{record:?}")
         };
-        let is_told =
-            |reason: &InvalidReason| matches!(reason, InvalidReason::Rule(x) if x.key == unfit);
-        assert!(reasons.iter().any(is_told), "{reasons:?}");
+        let is_reported =
+            |reason: &InvalidReason| matches!(reason, InvalidReason::Rule(x) if x.key == invalid);
+        assert!(reasons.iter().any(is_reported), "{reasons:?}");
     }
 }
 
@@ -161,17 +164,17 @@
         state.apply_undecodable(state.next());
     }
     let mut at_edge = state.clone();
-    let in_time = apply_next(&mut at_edge, &put_pool(base, "x", 1));
-    assert_eq!(in_time, Applied::InForce);
+    let within_limit = apply_next(&mut at_edge, &put_pool(base, "x", 1));
+    assert_eq!(within_limit, Applied::InForce);
     state.apply_undecodable(state.next());
-    let late = apply_next(&mut state, &put_pool(base, "x", 1));
-    assert_eq!(late, Applied::TooOld);
+    let too_late = apply_next(&mut state, &put_pool(base, "x", 1));
+    assert_eq!(too_late, Applied::TooOld);
     assert_eq!(state.history().next().unwrap().verdict, Verdict::TooOld);
     assert_eq!(state.history().len(), 1);
 }
 
 #[test]
-fn a_plan_tells_every_error_at_once() {
+fn a_plan_reports_all_errors() {
     let mut intent = small_intent();
     intent.pools.push(pool("llm", 9));
     intent.backends[0].slots = 0;
@@ -181,8 +184,8 @@
     intent.workspaces[0].name = "Signs!".into();
     intent.remove = vec![key(ObjectKind::Pool, "llm"), key(ObjectKind::Model, "none")];
     let errors = State::new().plan(&intent, &"Anna".into()).unwrap_err();
-    let has = |wanted: &str| errors.iter().any(|x| x.to_string().contains(wanted));
-    for wanted in [
+    let has = |expected: &str| errors.iter().any(|x| x.to_string().contains(expected));
+    for expected in [
         "operator \"Anna\"",
         "pool \"llm\": named more than once",
         "pool \"llm\": both configured and removed",
@@ -194,12 +197,12 @@
         "64 lower-case hex digits",
         "name \"Signs!\"",
     ] {
-        assert!(has(wanted), "{wanted} is not in {errors:#?}");
+        assert!(has(expected), "{expected} is not in {errors:#?}");
     }
 }
 
 #[test]
-fn a_plan_holds_only_what_would_change() {
+fn a_plan_contains_only_actual_changes() {
     let state = small_state();
     let mut intent = small_intent();
     intent.models[0].min_replicas = 3;
@@ -238,7 +241,7 @@
 }
 
 #[test]
-fn checkpoints_come_in_bounded_parts_and_complete_in_any_order() {
+fn checkpoint_parts_are_bounded_and_assembled_in_any_order() {
     let state = large_state();
     let mut parts = state.checkpoint();
     assert!(parts.len() > 4);
@@ -277,22 +280,22 @@
     assert_eq!(assembler.add(Offset(5), good), complete);
 }
 
-/// Draws a record against `state` that is sometimes stale, repeated or wrong.
-fn draw(g: &mut Gen, state: &State, earlier: &[ConfigRecord]) -> ConfigRecord {
-    let dice = u8::arbitrary_in(g, 10);
-    if dice == 0
-        && let Some(record) = g.choose(earlier)
+/// Generates a record against `state` that is sometimes stale, repeated or invalid.
+fn random_record(g: &mut Gen, state: &State, previous: &[ConfigRecord]) -> ConfigRecord {
+    let choice = u8::arbitrary_in(g, 10);
+    if choice == 0
+        && let Some(record) = g.choose(previous)
     {
         return record.clone();
     }
-    let back = u64::from(u8::arbitrary_in(g, 4));
-    let base = state.next().0.saturating_sub(back);
+    let lag = u64::from(u8::arbitrary_in(g, 4));
+    let base = state.next().0.saturating_sub(lag);
     let name = *g.choose(&["a", "b", "c"]).unwrap();
     let price = u64::from(u8::arbitrary_in(g, 200));
-    let op = match dice {
+    let op = match choice {
         1..4 => ChangeOp::Put(Object::Pool(pool(name, price))),
         4..6 => ChangeOp::Delete(key(ObjectKind::Pool, name)),
-        6..8 => ChangeOp::Put(Object::Backend(backend(name, "a", u32::from(dice)))),
+        6..8 => ChangeOp::Put(Object::Backend(backend(name, "a", u32::from(choice)))),
         _ => ChangeOp::Delete(key(ObjectKind::Backend, name)),
     };
     ConfigRecord::Change(change(base, vec![op]))
@@ -308,28 +311,28 @@
     }
 }
 
-fn resumes_like_the_full_replay(seed: u64, records: u8, split: u8) -> bool {
+fn checkpoint_restores_the_replayed_state(seed: u64, records: u8, split: u8) -> bool {
     let mut g = Gen::from_size_and_seed(64, seed);
-    let mut full = State::new();
+    let mut replayed = State::new();
     let mut stream = Vec::new();
     let mut resumed = None;
-    for at in 0..=records {
-        if at == split.min(records) {
-            resumed = through_a_checkpoint(&full);
-            assert!(resumed.as_ref() == Some(&full));
+    for position in 0..=records {
+        if position == split.min(records) {
+            resumed = restore_from_checkpoint(&replayed);
+            assert!(resumed.as_ref() == Some(&replayed));
         }
-        let record = draw(&mut g, &full, &stream);
-        let offset = full.next();
-        let applied = full.apply(offset, &record);
+        let record = random_record(&mut g, &replayed, &stream);
+        let offset = replayed.next();
+        let applied = replayed.apply(offset, &record);
         if let Some(resumed) = &mut resumed {
             assert_eq!(resumed.apply(offset, &record), applied);
         }
         stream.push(record);
     }
-    resumed == Some(full)
+    resumed == Some(replayed)
 }
 
-fn through_a_checkpoint(state: &State) -> Option<State> {
+fn restore_from_checkpoint(state: &State) -> Option<State> {
     let mut assembler = Assembler::new();
     let mut parts = state.checkpoint().into_iter();
     parts.find_map(|part| match assembler.add(state.next(), part) {
@@ -340,7 +343,7 @@
 
 #[test]
 fn checkpoint_and_tail_equal_the_full_replay() {
-    let property = resumes_like_the_full_replay as fn(u64, u8, u8) -> bool;
+    let property = checkpoint_restores_the_replayed_state as fn(u64, u8, u8) -> bool;
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(256, 5))
         .tests(200)
--- a/crates/core/tests/fate/mod.rs
+++ b/crates/core/tests/fate/mod.rs
@@ -1,6 +1,6 @@
-//! Faults of the log that the worlds of claims and of the placer share.
+//! Log faults shared by the simulations of claims and of the placer.
 
-/// What becomes of an append.
+/// Outcome of a simulated append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
     Appended,
--- a/crates/core/tests/ids.rs
+++ b/crates/core/tests/ids.rs
@@ -1,4 +1,4 @@
-//! Names and offsets.
+//! Validation of names, and the order of offsets.
 
 use quickcheck::quickcheck;
 use savoryvane_core::ids::{MAX_NAME_BYTES, Offset, is_valid_name};
@@ -10,13 +10,13 @@
 }
 
 #[test]
-fn the_last_offset_does_not_lead_back_to_the_first() {
+fn the_last_offset_does_not_wrap_around() {
     assert_eq!(Offset(u64::MAX).next(), Offset(u64::MAX));
     assert_eq!(Offset(u64::MAX - 1).next(), Offset(u64::MAX));
 }
 
 #[test]
-fn names_are_short_and_plain() {
+fn names_are_validated() {
     for name in ["a", "hal-utrecht", "chat.7b", &"x".repeat(MAX_NAME_BYTES)] {
         assert!(is_valid_name(name), "{name}");
     }
--- a/crates/core/tests/members_gossip.rs
+++ b/crates/core/tests/members_gossip.rs
@@ -1,5 +1,5 @@
-//! Membership of many instances in one process: convergence, bounded messages,
-//! leaving, cuts, freezes, restarts and old incarnations.
+//! Membership of many simulated instances: convergence, bounded traffic, leaving,
+//! partitions, freezes, restarts and old incarnations.
 
 use savoryvane_bench::peer_net::{PeerNet, live_counts};
 use savoryvane_core::{
@@ -20,7 +20,7 @@
     },
 };
 
-fn started(seed: u64, zones: usize, per_zone: usize) -> PeerNet {
+fn start_net(seed: u64, zones: usize, per_zone: usize) -> PeerNet {
     let mut net = PeerNet::new(seed, zones, per_zone);
     let all: Vec<_> = (0..zones * per_zone).collect();
     net.list(&all);
@@ -30,36 +30,41 @@
     net
 }
 
-fn everyone_sees(net: &PeerNet, count: usize) -> bool {
-    live_counts(net).values().all(|seen| *seen == count)
+fn all_see(net: &PeerNet, count: usize) -> bool {
+    live_counts(net)
+        .values()
+        .all(|live_count| *live_count == count)
 }
 
-fn state(net: &PeerNet, at: usize, of: usize) -> Option<MemberState> {
-    let name = &net.identity(of).instance;
-    let mut members = net.nodes[at].core.members(net.now_ms);
+fn state(net: &PeerNet, node: usize, member_index: usize) -> Option<MemberState> {
+    let name = &net.identity(member_index).instance;
+    let mut members = net.nodes[node].core.members(net.now_ms);
     members
         .find(|(member, ..)| *member == name)
         .map(|(.., state)| state)
 }
 
-fn was_told(net: &PeerNet, index: usize, action: &Action) -> bool {
+fn has_action(net: &PeerNet, index: usize, action: &Action) -> bool {
     net.nodes[index].told.contains(action)
 }
 
 #[test]
 fn a_zone_converges_within_seconds() {
     for (seed, per_zone) in [(1, 3), (2, 9), (3, 95)] {
-        let mut net = started(seed, 1, per_zone);
-        let took = net.run_until(10_000, |net| everyone_sees(net, per_zone));
-        assert!(took.is_some_and(|ms| ms <= 5_000), "{per_zone}: {took:?}");
+        let mut net = start_net(seed, 1, per_zone);
+        let took_ms = net.run_until(10_000, |net| all_see(net, per_zone));
+        assert!(
+            took_ms.is_some_and(|ms| ms <= 5_000),
+            "{per_zone}: {took_ms:?}"
+        );
     }
 }
 
 #[test]
 fn six_zones_of_95_converge_and_know_each_other_by_digests() {
-    let mut net = started(4, 6, 95);
-    let knows_all = |net: &PeerNet| {
-        everyone_sees(net, 95)
+    let mut net = start_net(4, 6, 95);
+    let all_known = |net: &PeerNet| {
+        all_see(net, 95)
             && net.nodes.iter().all(|node| {
                 let zones = node.core.zones();
                 zones
@@ -69,22 +74,22 @@
                     == 5
             })
     };
-    let took = net.run_until(20_000, knows_all);
-    assert!(took.is_some_and(|ms| ms <= 8_000), "{took:?}");
+    let took_ms = net.run_until(20_000, all_known);
+    assert!(took_ms.is_some_and(|ms| ms <= 8_000), "{took_ms:?}");
 }
 
 #[test]
 fn messages_and_bytes_of_an_instance_are_bounded_whatever_the_zone() {
     for per_zone in [9, 32, 95] {
-        let mut net = started(5, 1, per_zone);
+        let mut net = start_net(5, 1, per_zone);
         net.run(10_000);
         net.count_bytes();
-        let before: Vec<_> = net.nodes.iter().map(|node| node.traffic).collect();
+        let earlier: Vec<_> = net.nodes.iter().map(|node| node.traffic).collect();
         net.run(10_000);
-        for (node, before) in net.nodes.iter().zip(before) {
-            let messages = (node.traffic.sent - before.sent) / 10;
+        for (node, earlier) in net.nodes.iter().zip(earlier) {
+            let messages = (node.traffic.sent - earlier.sent) / 10;
             assert!(messages <= 36, "{messages} messages a second at {per_zone}");
-            let bytes = (node.traffic.sent_bytes - before.sent_bytes) / 10;
+            let bytes = (node.traffic.sent_bytes - earlier.sent_bytes) / 10;
             assert!(bytes <= 9_000, "{bytes} bytes a second at {per_zone}");
         }
     }
@@ -101,15 +106,15 @@
 
 #[test]
 fn an_account_past_its_expiry_brings_nobody_back() {
-    let mut net = started(15, 1, 9);
+    let mut net = start_net(15, 1, 9);
     net.run(5_000);
-    let account = net.nodes[0].core.members(net.now_ms).next().unwrap();
-    let digest = account.1.digest().unwrap().clone();
+    let member = net.nodes[0].core.members(net.now_ms).next().unwrap();
+    let digest = member.1.digest().unwrap().clone();
     net.kill(1);
     let listed: Vec<_> = (0..9).filter(|i| *i != 1).collect();
     net.list(&listed);
     net.run(DIGEST_EXPIRY_MS + 5_000);
-    assert_eq!(state(&net, 0, 1), None, "forgotten");
+    assert_eq!(state(&net, 0, 1), None, "the member was not evicted");
     let age_ms = DIGEST_EXPIRY_MS as u32 + 1;
     let entries = vec![AgedDigest { digest, age_ms }];
     let zone = net.identity(0).zone.clone();
@@ -121,12 +126,16 @@
             batch,
         },
     );
-    assert_eq!(state(&net, 0, 1), None, "brought back");
+    assert_eq!(
+        state(&net, 0, 1),
+        None,
+        "the expired digest restored the member"
+    );
 }
 
 #[test]
 fn an_offset_is_known_to_be_in_force_everywhere_soon() {
-    let mut net = started(6, 3, 9);
+    let mut net = start_net(6, 3, 9);
     net.run(5_000);
     for index in 0..27 {
         net.set_own(
@@ -138,22 +147,22 @@
         );
     }
     let is_known = |net: &PeerNet| {
-        let spreads = net
+        let propagations = net
             .nodes
             .iter()
             .map(|node| node.core.propagation(Offset(7)));
-        let mut spreads = spreads;
-        spreads.all(|spread| spread.in_force == 27 && spread.missing.is_empty())
+        let mut propagations = propagations;
+        propagations.all(|propagation| propagation.in_force == 27 && propagation.missing.is_empty())
     };
-    let took = net.run_until(10_000, is_known);
-    assert!(took.is_some_and(|ms| ms <= 4_000), "{took:?}");
-    let none = net.nodes[0].core.propagation(Offset(8));
-    assert_eq!((none.in_force, none.listed), (0, 27));
+    let took_ms = net.run_until(10_000, is_known);
+    assert!(took_ms.is_some_and(|ms| ms <= 4_000), "{took_ms:?}");
+    let not_propagated = net.nodes[0].core.propagation(Offset(8));
+    assert_eq!((not_propagated.in_force, not_propagated.listed), (0, 27));
 }
 
 #[test]
 fn a_leaving_instance_and_backend_server_are_known_everywhere_within_a_second() {
-    let mut net = started(7, 3, 31);
+    let mut net = start_net(7, 3, 31);
     net.run(6_000);
     net.set_own(
         0,
@@ -168,70 +177,73 @@
     };
     net.apply(1, Event::Leaving { from: None, notice });
     let in_zone: Vec<_> = (3..93).step_by(3).collect();
-    let took = net.run_until(1_000, |net| {
+    let took_ms = net.run_until(1_000, |net| {
         in_zone
             .iter()
             .all(|i| state(net, *i, 0) == Some(MemberState::Leaving))
     });
-    assert!(took.is_some(), "the instance is not known to leave");
-    let told = Action::BackendLeaving("llm-7".into());
-    let took = net.run_until(2_000, |net| (0..93).all(|i| was_told(net, i, &told)));
-    assert!(took.is_some(), "the backend server is not known to leave");
+    assert!(took_ms.is_some(), "the instance is not known to leave");
+    let leaving = Action::BackendLeaving("llm-7".into());
+    let took_ms = net.run_until(2_000, |net| (0..93).all(|i| has_action(net, i, &leaving)));
+    assert!(
+        took_ms.is_some(),
+        "the backend server is not known to leave"
+    );
     for index in 0..93 {
         let times = net.nodes[index]
             .told
             .iter()
-            .filter(|action| **action == told);
+            .filter(|action| **action == leaving);
         assert_eq!(times.count(), 1);
     }
 }
 
 #[test]
 fn one_that_dies_is_silent_everywhere_after_the_stated_age() {
-    let mut net = started(8, 1, 95);
+    let mut net = start_net(8, 1, 95);
     net.run(10_000);
     net.kill(13);
     net.run(silence_timeout_ms(95) + 2_000);
     for index in net.running() {
         assert_eq!(state(&net, index, 13), Some(MemberState::Silent));
     }
-    assert!(everyone_sees(&net, 94));
+    assert!(all_see(&net, 94));
 }
 
 #[test]
 fn a_rack_that_dies_leaves_the_others_connected() {
-    let mut net = started(9, 1, 95);
+    let mut net = start_net(9, 1, 95);
     net.run(10_000);
     for index in 20..44 {
         net.kill(index);
     }
-    let took = net.run_until(30_000, |net| everyone_sees(net, 71));
+    let took_ms = net.run_until(30_000, |net| all_see(net, 71));
     assert!(
-        took.is_some_and(|ms| ms <= silence_timeout_ms(95) + 3_000),
-        "{took:?}"
+        took_ms.is_some_and(|ms| ms <= silence_timeout_ms(95) + 3_000),
+        "{took_ms:?}"
     );
     net.run(20_000);
-    assert!(everyone_sees(&net, 71), "some lost sight of each other");
+    assert!(all_see(&net, 71), "some instances do not see all others");
 }
 
 #[test]
 fn a_zone_cut_in_half_goes_on_and_comes_together_again() {
-    let mut net = started(10, 1, 30);
+    let mut net = start_net(10, 1, 30);
     net.run(6_000);
     let is_first = |name: &InstanceName| name.as_str() < "entry-015";
     net.set_cut(move |a, b| is_first(&a.instance) != is_first(&b.instance));
     net.run(40_000);
-    assert!(everyone_sees(&net, 15));
+    assert!(all_see(&net, 15));
     net.set_cut(|_, _| false);
-    let took = net.run_until(10_000, |net| everyone_sees(net, 30));
-    assert!(took.is_some_and(|ms| ms <= 4_000), "{took:?}");
+    let took_ms = net.run_until(10_000, |net| all_see(net, 30));
+    assert!(took_ms.is_some_and(|ms| ms <= 4_000), "{took_ms:?}");
 }
 
 #[test]
 fn one_that_is_cut_one_way_stays_known_and_does_no_harm() {
-    let mut net = started(11, 1, 20);
+    let mut net = start_net(11, 1, 20);
     net.run(6_000);
-    // It is heard, and hears nothing.
+    // It sends, but receives nothing.
     net.set_cut(|_, to| to.instance.as_str() == "entry-004");
     net.run(30_000);
     for index in (0..20).filter(|i| *i != 4) {
@@ -240,9 +252,9 @@
     assert_eq!(
         net.nodes[4].core.live().len(),
         1,
-        "it knows that it hears nobody"
+        "it does not know that it receives nothing"
     );
-    // It hears, and is not heard.
+    // It receives, but its messages are lost.
     net.set_cut(|from, _| from.instance.as_str() == "entry-004");
     net.run(30_000);
     for index in (0..20).filter(|i| *i != 4) {
@@ -253,26 +265,26 @@
 
 #[test]
 fn a_frozen_one_wakes_without_bringing_old_accounts_back() {
-    let mut net = started(12, 1, 20);
+    let mut net = start_net(12, 1, 20);
     net.run(6_000);
     net.freeze(3);
     net.run(20_000);
     net.kill(9);
     net.run(80_000);
-    let news = OwnState {
+    let new_state = OwnState {
         config_next: Offset(50),
         ..READY
     };
     for index in net.running() {
-        net.set_own(index, news);
+        net.set_own(index, new_state);
     }
     net.run(3_000);
     net.thaw(3);
     net.run(3_000);
     for index in net.running().into_iter().filter(|i| *i != 3) {
         assert_ne!(state(&net, index, 9), Some(MemberState::Live));
-        let spread = net.nodes[index].core.propagation(Offset(49));
-        assert_eq!(spread.in_force, 18);
+        let propagation = net.nodes[index].core.propagation(Offset(49));
+        assert_eq!(propagation.in_force, 18);
         assert_eq!(state(&net, index, 3), Some(MemberState::Live));
     }
 }
@@ -280,32 +292,32 @@
 #[test]
 fn a_restart_under_the_same_address_wins_even_with_its_clock_set_back() {
     for skew_s in [0, -3_600] {
-        let mut net = started(13, 1, 20);
+        let mut net = start_net(13, 1, 20);
         net.run(10_000);
         net.restart(5, skew_s);
         let all: Vec<_> = (0..20).collect();
         net.list_to(5, &all);
         net.run(6_000);
-        let run = net.identity(5).incarnation;
+        let incarnation = net.identity(5).incarnation;
         for index in (0..20).filter(|i| *i != 5) {
             let member = net.nodes[index].core.members(net.now_ms);
             let mut member = member.filter(|(name, ..)| name.as_str() == "entry-005");
             let (_, member, state) = member.next().unwrap();
             assert_eq!(state, MemberState::Live, "skew {skew_s}");
-            assert_eq!(member.digest().unwrap().version.incarnation, run);
+            assert_eq!(member.digest().unwrap().version.incarnation, incarnation);
         }
-        assert!(!was_told(&net, 5, &Action::Superseded));
+        assert!(!has_action(&net, 5, &Action::Superseded));
         assert_eq!(net.nodes[5].core.live().len(), 20);
     }
 }
 
 #[test]
 fn an_old_run_that_wakes_after_its_successor_started_steps_back() {
-    let mut net = started(14, 1, 20);
+    let mut net = start_net(14, 1, 20);
     net.run(10_000);
-    let digest_of = |net: &PeerNet, at: usize, of: usize| {
-        let name = net.identity(of).instance.clone();
-        let member = net.nodes[at].core.members(net.now_ms);
+    let digest_of = |net: &PeerNet, node: usize, member_index: usize| {
+        let name = net.identity(member_index).instance.clone();
+        let member = net.nodes[node].core.members(net.now_ms);
         let mut member = member.filter(|(member, ..)| **member == name);
         member
             .next()
@@ -318,13 +330,13 @@
     net.run(6_000);
     let new = digest_of(&net, 0, 5).unwrap();
     assert_ne!(old.version.incarnation, new.version.incarnation);
-    // The old run goes on counting where it was and is heard by one peer.
-    let mut zombie = old.clone();
-    zombie.version.seq += 500;
+    // The old incarnation continues its sequence, and one peer receives its digest.
+    let mut stale_digest = old.clone();
+    stale_digest.version.seq += 500;
     let batch = DigestBatch {
         zone: net.identity(0).zone.clone(),
         entries: vec![AgedDigest {
-            digest: zombie,
+            digest: stale_digest,
             age_ms: 0,
         }],
     };
@@ -337,14 +349,14 @@
     );
     net.run(3_000);
     for index in (0..20).filter(|i| *i != 5) {
-        let known = digest_of(&net, index, 5).unwrap();
-        assert_eq!(known.version.incarnation, new.version.incarnation);
+        let current = digest_of(&net, index, 5).unwrap();
+        assert_eq!(current.version.incarnation, new.version.incarnation);
     }
-    // The old run itself hears of its successor.
+    // The old incarnation receives the digest of its successor.
     let mut identity = net.identity(5).clone();
     identity.incarnation = old.version.incarnation;
     identity.started_at_s = 1_000_000;
-    let mut old_run = savoryvane_core::membership::Membership::new(0, identity);
+    let mut old_membership = savoryvane_core::membership::Membership::new(0, identity);
     let batch = DigestBatch {
         zone: net.identity(0).zone.clone(),
         entries: vec![AgedDigest {
@@ -356,6 +368,6 @@
         from: "entry-000".into(),
         batch,
     };
-    let actions = old_run.on_event(net.now_ms, event);
+    let actions = old_membership.on_event(net.now_ms, event);
     assert!(actions.contains(&Action::Superseded));
 }
--- a/crates/core/tests/members_starts.rs
+++ b/crates/core/tests/members_starts.rs
@@ -1,6 +1,5 @@
-//! Starts, deaths and cuts of instances as the sharing of quotas sees them: a
-//! start costs no caller anything, and no mix of them brings the rates over the
-//! quota.
+//! Quota sharing under starts, crashes and partitions of instances: a start causes no
+//! refusals, and no combination of these events brings the rates above the quota.
 
 use savoryvane_bench::quota_net::QuotaNet;
 use savoryvane_core::quota::Rate;
@@ -19,9 +18,9 @@
     }
 }
 
-/// Lets every instance of `net` ask `per_s` times a second for 20 s, and returns
-/// how many requests were refused.
-fn refused_of_steady(net: &mut QuotaNet, per_s: usize, limit: Rate) -> usize {
+/// Sends `per_s` requests per second to every instance of `net` for 20 s. Returns the
+/// number of refused requests.
+fn refused_under_steady_load(net: &mut QuotaNet, per_s: usize, limit: Rate) -> usize {
     let mut refused = 0;
     for step in 0..200 {
         let is_due = |count: usize| (step + 1) * count / 10 - step * count / 10;
@@ -37,17 +36,17 @@
 
 #[test]
 fn a_start_costs_no_request_where_the_rest_leaves_room() {
-    // 39 of 90 and 36 of 90 requests a second, spread evenly.
+    // 39 of 90 and 36 of 90 requests per second, spread evenly.
     for (zones, per_zone, per_s) in [(1, 3, 13), (3, 3, 4)] {
         for restarted in 0..zones * per_zone {
             for is_idle_before in [true, false] {
                 let mut net = QuotaNet::new(zones, per_zone, &[90]);
                 settle(&mut net);
                 if !is_idle_before {
-                    assert_eq!(refused_of_steady(&mut net, per_s, quota(90)), 0);
+                    assert_eq!(refused_under_steady_load(&mut net, per_s, quota(90)), 0);
                 }
                 net.restart(restarted);
-                let refused = refused_of_steady(&mut net, per_s, quota(90));
+                let refused = refused_under_steady_load(&mut net, per_s, quota(90));
                 assert_eq!(refused, 0, "{zones} zones, {restarted}, {is_idle_before}");
             }
         }
@@ -58,11 +57,11 @@
 fn a_deployment_that_has_just_started_refuses_nobody_below_the_quota() {
     for (zones, per_zone, per_s) in [(1, 3, 13), (3, 3, 4)] {
         let mut net = QuotaNet::new(zones, per_zone, &[90]);
-        assert_eq!(refused_of_steady(&mut net, per_s, quota(90)), 0);
+        assert_eq!(refused_under_steady_load(&mut net, per_s, quota(90)), 0);
     }
 }
 
-/// A small generator, so that each seed gives the same run everywhere.
+/// Xorshift generator, so that each seed gives the same run on every platform.
 struct Random(u64);
 
 impl Random {
@@ -74,8 +73,8 @@
     }
 }
 
-/// Restarts, kills or cuts something, or heals the network, now and then.
-fn disturb(net: &mut QuotaNet, zones: usize, random: &mut Random) {
+/// Occasionally restarts, kills or partitions instances, or heals the network.
+fn inject_fault(net: &mut QuotaNet, zones: usize, random: &mut Random) {
     let index = random.below(net.nodes.len());
     match random.below(60) {
         0 => net.restart(index),
@@ -104,7 +103,7 @@
             if step % 40 == 0 {
                 busy = random.below(net.nodes.len());
             }
-            disturb(&mut net, zones, &mut random);
+            inject_fault(&mut net, zones, &mut random);
             let other = random.below(net.nodes.len());
             for (index, requests) in [(busy, 12), (other, 6)] {
                 for _ in 0..requests {
--- a/crates/core/tests/members_topology.rs
+++ b/crates/core/tests/members_topology.rs
@@ -1,4 +1,5 @@
-//! Neighbours, homes and ranks: alike everywhere, bounded, and steady when one leaves.
+//! Neighbours, homes and ranks are identical on every instance, bounded, and stable
+//! when an instance leaves.
 
 use std::collections::BTreeSet;
 
@@ -14,24 +15,24 @@
 }
 
 fn edges(members: &[InstanceName]) -> BTreeSet<(InstanceName, InstanceName)> {
-    let of = |me: &InstanceName| -> Vec<_> {
-        neighbours(me, members.iter())
+    let edges_of = |member: &InstanceName| -> Vec<_> {
+        neighbours(member, members.iter())
             .into_iter()
-            .map(|other| (me.clone(), other.clone()))
+            .map(|other| (member.clone(), other.clone()))
             .collect()
     };
-    members.iter().flat_map(of).collect()
+    members.iter().flat_map(edges_of).collect()
 }
 
 fn rounds_to_reach_all(members: &[InstanceName]) -> usize {
     let mut reached: BTreeSet<&InstanceName> = members.iter().take(1).collect();
     let mut rounds = 0;
     while reached.len() < members.len() {
-        let found: Vec<_> = reached
+        let newly_reached: Vec<_> = reached
             .iter()
-            .flat_map(|me| neighbours(me, members.iter()))
+            .flat_map(|member| neighbours(member, members.iter()))
             .collect();
-        reached.extend(found);
+        reached.extend(newly_reached);
         rounds += 1;
         assert!(rounds < 20, "not connected");
     }
@@ -54,22 +55,22 @@
 #[test]
 fn one_that_leaves_moves_only_what_touched_it() {
     let members = names(95);
-    for gone in [0, 17, 94] {
-        let left: Vec<_> = members
+    for removed in [0, 17, 94] {
+        let remaining: Vec<_> = members
             .iter()
-            .filter(|m| **m != members[gone])
+            .filter(|m| **m != members[removed])
             .cloned()
             .collect();
-        let (before, after) = (edges(&members), edges(&left));
-        let touched = |edge: &&(InstanceName, InstanceName)| {
-            edge.0 != members[gone] && edge.1 != members[gone]
+        let (before, after) = (edges(&members), edges(&remaining));
+        let is_unrelated = |edge: &&(InstanceName, InstanceName)| {
+            edge.0 != members[removed] && edge.1 != members[removed]
         };
-        assert_eq!(before.difference(&after).filter(touched).count(), 0);
+        assert_eq!(before.difference(&after).filter(is_unrelated).count(), 0);
         assert!(after.difference(&before).count() <= 2 * RINGS as usize);
         for shard in Shard::all() {
             let home = highest_ranked(Duty::Home(shard), members.iter());
-            if home != Some(&members[gone]) {
-                assert_eq!(highest_ranked(Duty::Home(shard), left.iter()), home);
+            if home != Some(&members[removed]) {
+                assert_eq!(highest_ranked(Duty::Home(shard), remaining.iter()), home);
             }
         }
     }
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn homes_spread_over_a_zone_of_95() {
+fn homes_are_spread_over_a_zone_of_95() {
     let members = names(95);
     let homes: BTreeSet<_> = Shard::all()
         .filter_map(|shard| highest_ranked(Duty::Home(shard), members.iter()))
--- a/crates/core/tests/members_usage.rs
+++ b/crates/core/tests/members_usage.rs
@@ -1,6 +1,6 @@
-//! Quotas shared by many instances: the rates add up to no more than the quota,
-//! unused parts are lent, and cuts, deaths and restarts neither overshoot nor
-//! leave anyone without a safe share.
+//! Quota sharing among many instances: the rates add up to at most the quota, unused
+//! rates are lent, and partitions, crashes and restarts neither exceed the quota nor
+//! leave an instance without its safe share.
 
 use savoryvane_bench::quota_net::QuotaNet;
 use savoryvane_core::{
@@ -10,8 +10,9 @@
 
 const SETTLE_STEPS: usize = 200;
 
-/// Lets each of `from` ask `per_step` times a step for a workspace, and checks
-/// the sum of rates after each step. Returns how many requests were admitted.
+/// Sends `per_step` requests of a workspace to each instance of `from` in each step,
+/// and checks the sum of rates after each step. Returns the number of admitted
+/// requests.
 fn drive(net: &mut QuotaNet, steps: usize, from: &[usize], per_step: usize, limit: Rate) -> usize {
     let mut admitted = 0;
     for step in 0..steps {
@@ -29,8 +30,8 @@
     Rate::per_s(per_s)
 }
 
-/// Nine instances in three zones that have been running for a while.
-fn nine() -> QuotaNet {
+/// Starts nine instances in three zones and lets their grants settle.
+fn nine_instances() -> QuotaNet {
     let mut net = QuotaNet::new(3, 3, &[90]);
     drive(&mut net, SETTLE_STEPS, &[], 0, quota(90));
     net
@@ -52,7 +53,7 @@
 
 #[test]
 fn busy_instances_share_fairly_and_use_the_whole_quota() {
-    let mut net = nine();
+    let mut net = nine_instances();
     let all: Vec<_> = (0..9).collect();
     drive(&mut net, 100, &all, 3, quota(90));
     let rates: Vec<_> = all
@@ -69,7 +70,7 @@
 
 #[test]
 fn demand_that_moves_takes_its_share_along_without_overshoot() {
-    let mut net = nine();
+    let mut net = nine_instances();
     drive(&mut net, 60, &[0], 20, quota(90));
     drive(&mut net, 60, &[5], 20, quota(90));
     let rate = net.nodes[5].core.rate(net.now_ms, net.key(0));
@@ -78,7 +79,7 @@
 
 #[test]
 fn admitted_requests_stay_within_quota_and_the_stated_burst() {
-    let mut net = nine();
+    let mut net = nine_instances();
     let all: Vec<_> = (0..9).collect();
     let admitted = drive(&mut net, 300, &all, 5, quota(90));
     let (per_window, burst) = (90 * 30, 90 * 5 / 2 + 3 * 9);
@@ -88,16 +89,16 @@
 
 #[test]
 fn an_idle_workspace_may_start_at_its_full_quota() {
-    let mut net = nine();
+    let mut net = nine_instances();
     let all: Vec<_> = (0..9).collect();
-    // 90 requests a second from the first moment on, one a step and instance.
+    // 90 requests per second from the first step on, one per step and instance.
     let admitted = drive(&mut net, 50, &all, 1, quota(90));
     assert!(admitted >= 450 * 97 / 100, "{admitted} of 450");
 }
 
 #[test]
 fn a_workspace_below_its_quota_is_not_refused() {
-    let mut net = nine();
+    let mut net = nine_instances();
     let admitted = drive(&mut net, 100, &[0, 1, 2, 3, 4, 5, 6], 1, quota(90));
     assert_eq!(admitted, 700);
 }
@@ -139,10 +140,10 @@
 
 #[test]
 fn a_zone_that_is_cut_off_gets_its_safe_share_and_nobody_overshoots() {
-    let mut net = nine();
-    let is_far = |i: usize| i.is_multiple_of(3);
+    let mut net = nine_instances();
+    let is_in_cut_zone = |i: usize| i.is_multiple_of(3);
     drive(&mut net, 100, &[1], 20, quota(90));
-    net.set_cut(move |a, b| is_far(a) != is_far(b));
+    net.set_cut(move |a, b| is_in_cut_zone(a) != is_in_cut_zone(b));
     let steps = (2 * GRANT_HOLD_MS / 100) as usize;
     drive(&mut net, steps, &[0, 1], 20, quota(90));
     for index in [0, 1] {
@@ -160,29 +161,29 @@
 
 #[test]
 fn an_instance_cut_off_from_its_home_alone_gets_its_safe_share() {
-    let mut net = nine();
+    let mut net = nine_instances();
     let home = net.home(0, 0);
-    let alone = (0..9).step_by(3).find(|i| *i != home).unwrap();
+    let isolated = (0..9).step_by(3).find(|i| *i != home).unwrap();
     drive(&mut net, 100, &[home], 20, quota(90));
-    // One way only: its reports are lost, or the answers to them.
+    // One-way partitions: either its reports or the responses to them are lost.
     for is_report_lost in [true, false] {
         net.set_cut(move |a, b| {
             if is_report_lost {
-                a == alone
+                a == isolated
             } else {
-                b == alone
+                b == isolated
             }
         });
         drive(
             &mut net,
             (2 * GRANT_HOLD_MS / 100) as usize,
-            &[home, alone],
+            &[home, isolated],
             20,
             quota(90),
         );
-        let rate = net.nodes[alone].core.rate(net.now_ms, net.key(0));
+        let rate = net.nodes[isolated].core.rate(net.now_ms, net.key(0));
         assert!(rate >= quota(10).fraction(99, 100), "{rate:?}");
-        assert!(net.nodes[alone].core.age_ms(net.now_ms).unwrap() >= 2 * GRANT_HOLD_MS - 2_000);
+        assert!(net.nodes[isolated].core.age_ms(net.now_ms).unwrap() >= 2 * GRANT_HOLD_MS - 2_000);
         net.set_cut(|_, _| false);
         drive(&mut net, 50, &[home], 20, quota(90));
     }
@@ -190,13 +191,13 @@
 
 #[test]
 fn a_cut_instance_of_a_zone_that_is_idle_otherwise_is_counted_by_the_lead() {
-    let mut net = nine();
+    let mut net = nine_instances();
     for zone in 0..3 {
         let home = net.home(0, zone);
-        let alone = (zone..9).step_by(3).find(|i| *i != home).unwrap();
+        let isolated = (zone..9).step_by(3).find(|i| *i != home).unwrap();
         let busy = (0..9).find(|i| i % 3 != zone).unwrap();
         drive(&mut net, 100, &[busy], 20, quota(90));
-        net.set_cut(move |a, b| a == alone || b == alone);
+        net.set_cut(move |a, b| a == isolated || b == isolated);
         drive(
             &mut net,
             (2 * GRANT_HOLD_MS / 100) as usize,
@@ -212,7 +213,7 @@
 #[test]
 fn a_home_that_dies_or_restarts_brings_no_overshoot() {
     for zone in [0, 1, 2] {
-        let mut net = nine();
+        let mut net = nine_instances();
         let others: Vec<_> = (0..9).filter(|i| *i != net.home(0, zone)).collect();
         let busy = others[0];
         drive(&mut net, 100, &[busy], 20, quota(90));
@@ -232,10 +233,11 @@
 #[test]
 fn a_home_that_is_replaced_at_once_brings_no_overshoot() {
     for zone in [0, 1, 2] {
-        let mut net = nine();
+        let mut net = nine_instances();
         let home = net.home(0, zone);
         let others: Vec<_> = (0..9).filter(|i| *i != home).collect();
-        // What the first one was lent it still holds while the others rise.
+        // The first instance still holds its loan while the demand of the others
+        // rises.
         drive(&mut net, 100, &others[..1], 20, quota(90));
         net.kill(home);
         net.renew_views();
@@ -246,7 +248,7 @@
 #[test]
 fn a_new_home_and_a_new_instance_together_bring_no_overshoot() {
     for restarted in 0..9 {
-        let mut net = nine();
+        let mut net = nine_instances();
         let home = net.home(0, 0);
         let busy = (0..9).find(|i| *i != home && *i != restarted).unwrap();
         drive(&mut net, 100, &[busy], 20, quota(90));
@@ -259,7 +261,7 @@
 #[test]
 fn a_home_that_restarts_at_once_brings_no_overshoot() {
     for zone in [0, 1, 2] {
-        let mut net = nine();
+        let mut net = nine_instances();
         let home = net.home(0, zone);
         let others: Vec<_> = (0..9).filter(|i| *i != home).collect();
         drive(&mut net, 100, &others[..1], 20, quota(90));
@@ -270,7 +272,7 @@
 
 #[test]
 fn a_lead_that_is_lost_with_its_zone_leaves_the_others_their_share() {
-    let mut net = nine();
+    let mut net = nine_instances();
     let lead = net.lead(0) % 3;
     let busy = (0..9).find(|i| i % 3 != lead).unwrap();
     drive(&mut net, 100, &[busy], 20, quota(90));
@@ -291,15 +293,15 @@
 #[test]
 fn a_zone_that_is_cut_off_and_loses_its_home_brings_no_overshoot() {
     for zone in 0..3 {
-        let mut net = nine();
+        let mut net = nine_instances();
         let home = net.home(0, zone);
         let busy = (0..9).find(|i| i % 3 != zone).unwrap();
-        let inside: Vec<_> = (zone..9).step_by(3).filter(|i| *i != home).collect();
+        let zone_members: Vec<_> = (zone..9).step_by(3).filter(|i| *i != home).collect();
         drive(&mut net, 100, &[busy], 20, quota(90));
         net.set_cut(move |a, b| (a % 3 == zone) != (b % 3 == zone));
         net.kill(home);
         net.renew_views();
-        let all: Vec<_> = inside.iter().copied().chain([busy]).collect();
+        let all: Vec<_> = zone_members.iter().copied().chain([busy]).collect();
         drive(&mut net, 300, &all, 20, quota(90));
     }
 }
@@ -314,8 +316,11 @@
         admitted += drive(&mut net, 1, &all, 1, quota(5));
         drive(&mut net, 9, &[], 0, quota(5));
     }
-    let most = 5 * 60 + 5 * 9 / 2 + 3 * 90 + 3 * 3;
-    assert!(admitted <= most, "{admitted} of at most {most}");
+    let max_admitted = 5 * 60 + 5 * 9 / 2 + 3 * 90 + 3 * 3;
+    assert!(
+        admitted <= max_admitted,
+        "{admitted} of at most {max_admitted}"
+    );
     assert!(admitted >= 5 * 60, "{admitted}");
 }
 
@@ -325,33 +330,39 @@
     drive(&mut net, SETTLE_STEPS, &[], 0, quota(5));
     let all: Vec<_> = (0..90).collect();
     let admitted = drive(&mut net, 600, &all, 1, quota(5));
-    // Three an instance and three a home on top of 60 s and 4.5 s of quota.
-    let most = 5 * 60 + 5 * 9 / 2 + 3 * 90 + 3 * 3;
-    assert!(admitted <= most, "{admitted} of at most {most}");
+    // 60 s and 4.5 s of quota, three requests per instance and three per home.
+    let max_admitted = 5 * 60 + 5 * 9 / 2 + 3 * 90 + 3 * 3;
+    assert!(
+        admitted <= max_admitted,
+        "{admitted} of at most {max_admitted}"
+    );
     assert!(admitted >= 5 * 60, "{admitted}");
 }
 
 #[test]
 fn small_workspaces_below_their_quota_are_seldom_refused_in_a_zone_of_95() {
     let mut net = QuotaNet::new(1, 95, &[5; 24]);
-    let (mut came, mut refused) = (0u32, 0u32);
+    let (mut received, mut refused) = (0u32, 0u32);
     let mut seed = 1u64;
     for step in 0..400 {
         for workspace in 0..24 {
             seed = seed
                 .wrapping_mul(6_364_136_223_846_793_005)
                 .wrapping_add(1_442_695_040_888_963_407);
-            // 4 of 5 requests a second, at any instance.
+            // 4 of 5 requests per second, each at a random instance.
             if (seed >> 33) % 100 < 40 {
                 let index = (seed >> 12) as usize % 95;
                 let is_admitted = net.admit(index, workspace);
                 if step >= 200 {
-                    came += 1;
+                    received += 1;
                     refused += u32::from(!is_admitted);
                 }
             }
         }
         net.step();
     }
-    assert!(refused * 100 <= came * 2, "{refused} of {came} refused");
+    assert!(
+        refused * 100 <= received * 2,
+        "{refused} of {received} refused"
+    );
 }
