--- a/crates/core/src/bucket.rs
+++ b/crates/core/src/bucket.rs
@@ -20,7 +20,7 @@
 /// granted tokens, and whose level can trigger an early report.
 const MIN_RATE_CAPACITY_TOKENS: u64 = 4 * TOKENS_PER_REQUEST;
 
-/// Token bucket with [`TOKENS_PER_REQUEST`] tokens for each request.
+/// Token bucket with `TOKENS_PER_REQUEST` tokens for each request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TokenBucket {
     tokens: u64,
--- a/crates/core/src/topology.rs
+++ b/crates/core/src/topology.rs
@@ -14,7 +14,7 @@
 
 /// Number of rings on which an instance has a successor and a predecessor.
 pub const RINGS: u64 = 3;
-/// Number of shards of the workspaces.
+/// Number of shards into which workspaces and claims are divided.
 pub const SHARDS: u8 = 16;
 
 const RING_SEED: u64 = 0x0100;
