--- a/crates/core/src/forwarding/grants.rs
+++ b/crates/core/src/forwarding/grants.rs
@@ -19,7 +19,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    bucket::{Bucket, Flow},
+    bucket::{BucketRates, TokenBucket},
     ids::{BackendName, InstanceName, PoolName},
     quota::Rate,
 };
@@ -120,7 +120,7 @@
 /// The share of one limit, or of the sum of several, that an instance grants.
 #[derive(Clone, Copy, Debug)]
 struct LimitShare {
-    flow: Flow,
+    flow: BucketRates,
     /// Largest burst, in thousandths of a request.
     depth_milli: u64,
 }
@@ -128,7 +128,7 @@
 /// Token bucket of one limit.
 #[derive(Clone, Copy, Debug)]
 struct GrantBucket {
-    bucket: Bucket,
+    bucket: TokenBucket,
     last_query_ms: u64,
 }
 
@@ -241,8 +241,8 @@
             };
             issued
                 .bucket
-                .fill_to(now_ms, limit_share.flow, limit_share.depth_milli);
-            if issued.bucket.take() {
+                .refill_up_to(now_ms, limit_share.flow, limit_share.depth_milli);
+            if issued.bucket.try_take() {
                 return GrantState::Granted((*server).clone());
             }
             retry_in_ms = retry_in_ms.min(issued.bucket.wait_ms(limit_share.flow));
@@ -262,12 +262,12 @@
             admission.most_urgent = (query.priority, now_ms);
         }
         let bucket = &mut admission.issued.bucket;
-        bucket.fill_to(now_ms, total.flow, total.depth_milli + ONE_MILLI);
+        bucket.refill_up_to(now_ms, total.flow, total.depth_milli + ONE_MILLI);
         if is_most_urgent {
-            return bucket.take();
+            return bucket.try_take();
         }
         let mut after = *bucket;
-        let leaves_capacity = after.take() && after.clone().take();
+        let leaves_capacity = after.try_take() && after.clone().try_take();
         if leaves_capacity {
             *bucket = after;
         }
@@ -323,7 +323,7 @@
 impl GrantBucket {
     fn new(now_ms: u64) -> Self {
         Self {
-            bucket: Bucket::empty(now_ms),
+            bucket: TokenBucket::empty(now_ms),
             last_query_ms: now_ms,
         }
     }
@@ -355,7 +355,7 @@
         let share_per_s = limit_per_s * share;
         let spare_milli = SPARE_MILLI * share + share_per_s * SPARE_MS;
         Self {
-            flow: Flow {
+            flow: BucketRates {
                 rate: Rate((share_per_s * REQUEST_PER_S) as u64),
                 safe: Rate(0),
             },
@@ -364,7 +364,7 @@
     }
 
     fn sum(limit_shares: impl Iterator<Item = Self>) -> Self {
-        let none = Flow {
+        let none = BucketRates {
             rate: Rate(0),
             safe: Rate(0),
         };
@@ -373,7 +373,7 @@
             depth_milli: 0,
         };
         for limit_share in limit_shares {
-            sum.flow.rate = sum.flow.rate.plus(limit_share.flow.rate);
+            sum.flow.rate = sum.flow.rate.saturating_add(limit_share.flow.rate);
             sum.depth_milli = sum.depth_milli.saturating_add(limit_share.depth_milli);
         }
         sum
