--- a/crates/server/src/gateway.rs
+++ b/crates/server/src/gateway.rs
@@ -1,5 +1,5 @@
-//! An instance that forwards callers' requests to backend servers as they are,
-//! by routes that the operator keeps in the platform's store.
+//! An instance that forwards callers' requests to backend servers unmodified, by routes
+//! that the operator maintains in the platform's store.
 
 mod admitting;
 mod answers;
--- a/crates/server/src/gateway/admitting.rs
+++ b/crates/server/src/gateway/admitting.rs
@@ -1,4 +1,5 @@
-//! Decides whether a request may be sent to a server, by how many have ended under it.
+//! Decides whether a request may be sent to a server, by the number of servers that
+//! crashed under it.
 
 use std::time::Duration;
 
@@ -13,23 +14,25 @@
 };
 use crate::suspects::{self, CountedBy, Reason};
 
-/// Time that a request waits at an instance that has just started, at most: some calls of
-/// the store.
+/// Longest time that a request waits for the known crashes at an instance that has just
+/// started; a few store calls take as long.
 const LEARN_TIMEOUT: Duration = Duration::from_millis(100);
-/// Shortest time to come back after while another copy runs, in ms: most servers take
-/// as long for an answer.
+/// Shortest `Retry-After` while another copy runs, in ms: most servers take as long to
+/// respond.
 const MIN_RETRY_AFTER_MS: u64 = 200;
 
 impl Forwarder {
-    /// Lets a request through, a suspect with a permit that `permit` holds from then on.
-    /// Asked before every send, as it may have become a suspect since the last one.
+    /// Admits a request. A suspect needs a permit, which `permit` holds from then on.
+    /// Called before every send, as the request may have become a suspect since the last
+    /// one.
     pub(super) async fn admit(
         &self,
         caller: &CallerRequest,
         permit: &mut Option<HeldPermit>,
     ) -> Result<(), Why> {
-        // Known some ms after the start of an instance; without it the first copies after
-        // a loss of all would end three more servers.
+        // Crashes known to other instances are loaded some ms after the start. Without
+        // them, the first copies after a loss of all instances would crash three more
+        // servers.
         self.quarantine.loaded(LEARN_TIMEOUT).await;
         match self.quarantine.standing(&caller.digest) {
             Standing::Clear => Ok(()),
@@ -53,10 +56,9 @@
         }
     }
 
-    /// Learns from the instance that schedules why it has refused the stages of a
-    /// request under which servers end.
+    /// Asks the scheduler why it refused the stages of a request that crashes servers.
     pub(super) async fn learn_why(&self, caller: &CallerRequest) -> Why {
-        // A permit that is granted after all is given back at once.
+        // If a permit is granted after all, it is returned at once.
         let asked = self.quarantine.ask(caller.digest, Duration::ZERO).await;
         let counted_by = match asked {
             Asked::Quarantined(counted_by) => counted_by,
--- a/crates/server/src/gateway/answers.rs
+++ b/crates/server/src/gateway/answers.rs
@@ -1,4 +1,4 @@
-//! Answers that an instance gives by itself, without a backend server.
+//! Responses that the gateway generates itself, without a backend server.
 
 use http::{Response, StatusCode, header};
 use savoryvane_core::{forwarding::Unroutable, ids::RequestId, stages::Refusal};
@@ -6,56 +6,56 @@
 
 use crate::http_body::{self, Body, BodyFault};
 
-/// Time to come back after to an instance that has just started, in ms: it
-/// learns routes within a few calls of the store.
+/// `Retry-After` while the instance starts, in ms: it learns the routes within a few
+/// store calls.
 const STARTING_RETRY_AFTER_MS: u64 = 300;
-/// Time to come back after to another instance while this one leaves, in ms:
-/// at once, as the balancer sends new connections elsewhere.
+/// `Retry-After` while this instance shuts down, in ms: short, as the balancer sends new
+/// connections to other instances.
 const LEAVING_RETRY_AFTER_MS: u64 = 50;
-/// Time to come back after when no server takes a request, in ms: about as long
-/// as a server is left alone after a failure.
+/// `Retry-After` when no server accepts a request, in ms: about as long as a server is
+/// ejected after a failure.
 const NO_SERVER_RETRY_AFTER_MS: u64 = 500;
 
-/// What a caller is told of a request that is quarantined.
+/// Response text for a quarantined request.
 const ENDS_SERVERS_TEXT: &str = "backend servers ended each time they ran this request, so \
     it is not sent again before the time given; other requests are served";
 
-/// Why a request has no answer of a backend server.
+/// Why a request has no response from a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Why {
     /// The instance knows no routes yet.
     Starting,
-    /// No route takes it.
+    /// No route matches the request.
     NoRoute,
-    /// Its key is missing or not known.
+    /// Its API key is missing or unknown.
     UnknownKey,
     /// Its body is larger than allowed.
     LargeBody,
     /// Its body did not arrive in time.
     SlowBody,
-    /// Its body broke off or is framed wrongly.
+    /// Its body was truncated or its framing is invalid.
     BadBody,
-    /// Its stages would not be done in time, or failed.
+    /// Its stages would miss the deadline, or failed; with the `Retry-After`, in ms.
     Stages(Refusal, u64),
-    /// Too many servers have ended under it, and it is not sent again for this time, in
-    /// ms, where that is known.
+    /// Too many servers crashed under it; with the time for which it is not sent again,
+    /// in ms, if that is known.
     EndsServers(Option<u64>),
-    /// A server has ended under it, and another copy of it runs; when to come back, in
-    /// ms.
+    /// A server crashed under it, and another copy of it is running; with the
+    /// `Retry-After`, in ms.
     CopyRuns(u64),
-    /// This instance ends before it would be done; no server has it.
+    /// This instance exits before the request would complete; no server has it.
     Leaving,
-    /// No server takes it now, and none has run it.
+    /// No server accepts it now, and none has run it.
     NoServer,
-    /// Servers would take it but for the limits that they name, and none has run it; when
-    /// to come back, in ms.
-    Limited(u64),
-    /// All servers that would take it are backing off, and none has run it; with the
+    /// All eligible servers are at their rate limits, and none has run it; with the
     /// `Retry-After`, in ms.
+    Limited(u64),
+    /// All eligible servers are backing off, and none has run it; with the `Retry-After`,
+    /// in ms.
     BackingOff(u64),
-    /// Its answer was lost; it may have run.
+    /// Its response was lost; it may have run.
     Lost,
-    /// Its time was over while a server had it; it may have run.
+    /// Its deadline passed while a server had it; it may have run.
     Overdue,
 }
 
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Returns the status of the answer. 503 promises that the request was not
-    /// run and never will be; 502 and 504 promise nothing.
+    /// Returns the HTTP status. 503 guarantees that the request has not run and never
+    /// will; 502 and 504 guarantee nothing.
     fn status(self) -> StatusCode {
         match self {
             Self::NoRoute => StatusCode::NOT_FOUND,
@@ -97,7 +97,7 @@
             | Self::NoServer
             | Self::Limited(_)
             | Self::BackingOff(_) => StatusCode::SERVICE_UNAVAILABLE,
-            // It has run, under other identifiers or this one.
+            // The request has run, under this identifier or another.
             Self::Lost | Self::EndsServers(_) => StatusCode::BAD_GATEWAY,
             Self::Overdue => StatusCode::GATEWAY_TIMEOUT,
         }
@@ -137,7 +137,7 @@
     }
 }
 
-/// Builds the answer that tells a caller why there is no other.
+/// Builds the response for a request that has none from a backend server.
 pub(super) fn own(id: Option<&RequestId>, why: Why) -> Response<Body> {
     let text = match why {
         Why::EndsServers(_) => format!("{}: {ENDS_SERVERS_TEXT}\n", why.as_str()),
@@ -146,7 +146,7 @@
     let mut response = http_body::with_type(why.status(), "text/plain", text);
     request::put_own_answer(response.headers_mut(), id, why.retry_after_ms());
     if why == Why::BadBody || why == Why::SlowBody || why == Why::LargeBody {
-        // What is left of the body is not read.
+        // The rest of the body is not read.
         let close = http::HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
--- a/crates/server/src/gateway/attempt.rs
+++ b/crates/server/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one backend server, and what came of it.
+//! One send of a request to one backend server, and its outcome.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,26 +22,26 @@
 };
 use crate::connections::{Exchange, Lease, Reuse, SendError};
 
-/// Largest answer that is gathered before it is passed on, in bytes: one that
-/// breaks off may still be replaced by that of another server.
+/// Largest response that is buffered before it is forwarded, in bytes: a response that
+/// breaks off may still be replaced by one from another server.
 const GATHERED_BYTES: usize = 1 << 20;
-/// Age of a kept connection up to which a request that may not be repeated goes
-/// over it; servers close idle connections at any moment.
+/// Idle time up to which a pooled connection may carry a request that must not be
+/// repeated; servers close idle connections at any moment.
 const FRESH_CONNECTION: Duration = Duration::from_millis(500);
-/// Part of a server's own limit within which a kept connection is used.
+/// Margin by which a pooled connection is dropped before the server's keep-alive timeout.
 const KEEP_ALIVE_SPARE: Duration = Duration::from_millis(700);
 
-/// How one send ended.
+/// Outcome of one send.
 pub(super) enum Sent {
-    /// With a whole answer.
+    /// A complete response.
     Whole(Response<Bytes>),
-    /// With a stream of events that has begun.
+    /// An event stream whose head has arrived.
     Stream(Box<Stream>),
-    /// Without an answer to give, but for a failure of the server's own.
+    /// No usable response, except possibly an error response of the server.
     Ended(AttemptEnd, Option<Response<Bytes>>),
 }
 
-/// A stream of events that has begun.
+/// An event stream whose head has arrived.
 pub(super) struct Stream {
     pub(super) response: Response<Incoming>,
     pub(super) lease: Lease,
@@ -49,10 +49,10 @@
     pub(super) head: AnswerHead,
 }
 
-/// Counts a request as in flight at a server until its end is known.
+/// Counts a request as in flight at a server until its outcome is known.
 pub(super) struct InFlight {
     forwarder: Arc<Forwarder>,
-    /// The server, as it was registered when the request was sent.
+    /// The server's registration at the time of the send.
     pub(super) server: ServerEntry,
     route: Arc<Route>,
     began: Instant,
@@ -60,7 +60,7 @@
     has_ended: bool,
 }
 
-/// What a request in flight says of its server at its end.
+/// What the outcome of a request says about its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ServerEnd {
     Answered,
@@ -110,8 +110,8 @@
 }
 
 impl Forwarder {
-    /// Sends a request to one server and waits for its answer, or for the head
-    /// of a stream.
+    /// Sends a request to one server and waits for its response, or for the head of a
+    /// stream.
     pub(super) async fn send_once(
         self: &Arc<Self>,
         caller: &CallerRequest,
@@ -166,19 +166,20 @@
         }
     }
 
-    /// Finds out whether a server that broke off has ended under the request.
+    /// Finds out whether a server whose connection broke crashed under the request.
     pub(super) async fn on_lost(&self, caller: &CallerRequest, in_flight: InFlight) {
         let lost = self.lost(caller, in_flight.server.clone());
         in_flight.end(ServerEnd::Silent);
         let ends = Arc::clone(&self.ends);
-        // A caller who goes at this moment does not keep it from being known.
+        // Runs in a task of its own: the crash is recorded even if the caller disconnects
+        // now.
         let known = tokio::spawn(async move { ends.on_lost(lost).await });
         if let Err(err) = known.await {
             warn!(self.log, "loss not looked at"; "request" => %caller.id, "error" => %err);
         }
     }
 
-    /// Describes the loss of the connection to a server that has the request of a caller.
+    /// Describes the loss of the connection that carried a caller's request.
     pub(super) fn lost(&self, caller: &CallerRequest, server: ServerEntry) -> LostServer {
         let calls = self.knowledge.fleet().in_flight(&server.id);
         LostServer {
@@ -253,7 +254,7 @@
     names.join(",")
 }
 
-/// Gives a connection back after its answer was read.
+/// Returns a connection to the pool after its response was read.
 pub(super) fn keep(lease: Lease, head: &AnswerHead) {
     let limit = head
         .keep_alive_s
@@ -262,7 +263,7 @@
     tokio::spawn(async move { lease.keep_for(limit).await });
 }
 
-/// Returns what is wrong with the head of an answer.
+/// Returns what makes a response unusable, judged by its head.
 fn fault(caller: &CallerRequest, status: StatusCode, head: &AnswerHead) -> Option<&'static str> {
     if head.id.as_ref().is_some_and(|id| *id != caller.id) {
         return Some("it answers another request");
--- a/crates/server/src/gateway/batch.rs
+++ b/crates/server/src/gateway/batch.rs
@@ -1,26 +1,27 @@
-//! What one read of a topic of the store gave.
+//! The result of one read of a store topic.
 
 use savoryvane_core::forwarding::{Cursor, Position};
 use savoryvane_platform::store::Record;
 
-/// What a read of a topic gave.
+/// The result of one read of a store topic.
 pub(super) struct Batch {
     pub(super) records: Vec<Record>,
-    /// Whether it is the newest of every key and not what has changed.
+    /// Whether `records` holds the latest record of every key rather than the changes
+    /// since a position.
     pub(super) is_whole: bool,
-    /// Era of the store that they are of.
+    /// Era of the store that the records belong to.
     pub(super) era: u64,
-    /// Offset up to which the topic is known after it.
+    /// Offset up to which the topic is known after the read.
     pub(super) next: u64,
 }
 
 impl Batch {
-    /// Returns how far the topic is known after it where it was known up to `before`.
+    /// Returns the topic's cursor after this read, given the cursor `before` it.
     pub(super) fn cursor(&self, before: Cursor) -> Cursor {
         before.advanced_to(self.era, self.next)
     }
 
-    /// Returns the position of one of its records.
+    /// Returns the position of one of the records.
     pub(super) fn position(&self, record: &Record) -> Position {
         Position {
             era: self.era,
--- a/crates/server/src/gateway/calls.rs
+++ b/crates/server/src/gateway/calls.rs
@@ -1,5 +1,5 @@
-//! Calls backend servers with pieces of stages, and tells them which results are not needed
-//! any more.
+//! Calls backend servers to run pieces of stages and to free results that are no longer
+//! needed.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -29,17 +29,17 @@
     platform::request,
 };
 
-/// Largest answer to a call, in bytes: some hundred results with their names.
+/// Largest response to a call, in bytes: room for some hundred results with their names.
 const MAX_ANSWER_BYTES: usize = 256 << 10;
-/// Time for a call that frees results to be answered.
+/// Timeout of a call that frees results.
 const FREE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time between two attempts to connect to a server that could not be reached.
+/// Interval between two attempts to connect to an unreachable server.
 const PROBE_INTERVAL: Duration = Duration::from_millis(300);
-/// Attempts before pieces are tried again, by which time one that is not
-/// registered any more is gone.
+/// Attempts before pieces are sent to it again; by then, a server that is no longer
+/// registered has been removed.
 const PROBES: u32 = 15;
 
-/// The ways from this instance to the servers of stages.
+/// Client for the stage calls of this instance.
 #[derive(Debug)]
 pub(super) struct StageCalls {
     knowledge: Arc<Knowledge>,
@@ -49,7 +49,7 @@
     log: Logger,
 }
 
-/// Where a call goes, and what for.
+/// Destination of a call, and what it is for.
 #[derive(Clone, Copy, Debug)]
 struct Addressee<'a> {
     server: &'a BackendName,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Calls a server with pieces, and returns how that ended.
+    /// Calls a server to run pieces, and returns the outcome.
     pub(super) async fn run(&self, call: &StageCall) -> CallEnd {
         let began = Instant::now();
         let server = self.knowledge.directory().entry(&call.server).cloned();
@@ -92,8 +92,8 @@
         end
     }
 
-    /// Finds out whether a server that broke off has ended under the requests of a call;
-    /// returns how many have under each of them.
+    /// Finds out whether a server whose connection broke crashed under the requests of a
+    /// call; if so, returns the crash count of each of them.
     async fn on_lost(
         &self,
         call: &StageCall,
@@ -186,7 +186,8 @@
         }
     }
 
-    /// Returns how a call ends that its server does not take now.
+    /// Returns the outcome of a call that may not be sent to its server now, `None` if it
+    /// may.
     fn not_sent(&self, call: &StageCall) -> Option<CallEnd> {
         match self.knowledge.sendable(&call.server) {
             Sendable::Yes => None,
@@ -195,8 +196,8 @@
         }
     }
 
-    /// Sends a call, and applies what its answer says of the server; returns the answer and
-    /// its decoded head.
+    /// Sends a call, and applies the signals in the response to the server's state;
+    /// returns the response and its decoded head.
     async fn post(
         &self,
         to: Addressee<'_>,
@@ -225,7 +226,8 @@
             .await
     }
 
-    /// Tells a server that results are not needed any more; returns whether it was asked.
+    /// Asks a server to free results that are no longer needed. Returns `false` if the
+    /// request could not be encoded, so that it was never sent.
     pub(super) async fn free(
         &self,
         server: &BackendName,
@@ -246,8 +248,8 @@
             .limit_per_s(server)
             .is_some();
         if self.knowledge.sendable(server) != Sendable::Yes || is_limited {
-            // What a limited server takes is left for pieces; servers drop results by
-            // themselves a little later.
+            // The limited rate is left to pieces; servers drop unreleased results a
+            // little later.
             return true;
         }
         let to = Addressee {
@@ -257,15 +259,15 @@
         };
         let freed = self.post(to, stages::FREE_PATH, body, FREE_TIMEOUT).await;
         if let Err(err) = freed {
-            // The server drops them by itself a little later.
+            // The server drops them itself a little later.
             warn!(self.log, "results not freed"; "server" => %server, "results" => handles.len(),
                 "error" => %err);
         }
         true
     }
 
-    /// Tries to connect to a server that could not be reached until that succeeds; returns
-    /// whether it did in time.
+    /// Tries to connect to an unreachable server until that succeeds; returns whether it
+    /// did within `MAX_PROBES` attempts.
     pub(super) async fn reach(&self, server: &BackendName, addr: SocketAddr) -> bool {
         for _ in 0..PROBES {
             time::sleep(PROBE_INTERVAL).await;
@@ -277,7 +279,7 @@
         false
     }
 
-    /// Closes the connections that are kept to an address: another run may have it.
+    /// Closes the pooled connections to an address, which another run may have now.
     pub(super) fn forget(&self, addr: SocketAddr) {
         self.servers.forget(addr);
     }
--- a/crates/server/src/gateway/catch_up.rs
+++ b/crates/server/src/gateway/catch_up.rs
@@ -1,5 +1,5 @@
-//! Learns routes and servers from other instances: from the one that schedules
-//! all the time, from any while the store does not give them.
+//! Copies routes and servers from other instances: continuously from the scheduler, and
+//! from any instance while the store is unavailable.
 
 use std::{
     sync::{Arc, Mutex},
@@ -17,21 +17,21 @@
 use super::{freshness::Freshness, knowledge::Knowledge, members::Members, store::StoreClient};
 use crate::{clock::Clock, lock::lock};
 
-/// Time between two looks at whether the own knowledge is old.
+/// Interval between two checks of the age of this instance's routes and servers.
 const CATCH_UP_INTERVAL: Duration = Duration::from_millis(400);
-/// Time for a peer to tell what it knows.
+/// Timeout of a query to a peer.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Learns routes and servers from other instances.
+/// Copies routes and servers from other instances.
 #[derive(Debug)]
 pub(super) struct CatchUp {
     knowledge: Arc<Knowledge>,
     freshness: Arc<Freshness>,
     store: StoreClient,
     incarnation: Incarnation,
-    /// Whether the store had nothing to read when this instance started.
+    /// Whether the store was empty when this instance started.
     is_first_start: bool,
-    /// The run whose directory was taken over last, and its revision.
+    /// Run whose directory was copied last, and its revision.
     source: Mutex<Option<(Incarnation, u64)>>,
     clock: Clock,
     telling: Mutex<TellingBudget>,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Returns how far the knowledge of this instance goes.
+    /// Returns the versions, cursors and ages of what this instance knows.
     pub(super) fn known(&self, members: &Members) -> KnownState {
         let (revision, servers) = {
             let directory = self.knowledge.directory();
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Takes over what the instance that schedules knows, if that is fresh.
+    /// Copies what the scheduler knows, if it has anything newer.
     pub(super) async fn follow(
         &self,
         members: &Members,
@@ -88,8 +88,8 @@
         let ours = self.known(members);
         let has_read = ours.version_age_ms < u64::MAX && ours.servers_age_ms < u64::MAX;
         if !has_read && !self.is_first_start && !self.store.is_failing() {
-            // It reads all of it now; hundreds that start together would take it from
-            // one link.
+            // This instance is reading everything from the store now; hundreds that start
+            // together would overload the scheduler's link.
             return;
         }
         let has_all = self.source() == Some((theirs.incarnation, theirs.revision))
@@ -110,8 +110,9 @@
         }
     }
 
-    /// Notes how far a peer knows the register, all changes of which this instance has;
-    /// tells whether it takes no server for lapsed, of which the peer may know more.
+    /// Records the scheduler's cursor of the server register, all changes of which this
+    /// instance already has. Returns whether no server is marked as lapsing here; if one
+    /// is, the scheduler may know more about it.
     fn is_sure_of_servers(&self, theirs: KnownState) -> bool {
         let mut directory = self.knowledge.directory();
         let is_sure = directory.lapsing_names().is_empty();
@@ -121,7 +122,7 @@
         is_sure
     }
 
-    /// Returns the question for what the run `of` knows beyond this instance.
+    /// Returns the query for everything that the run `of` knows beyond this instance.
     fn question(&self, members: &Members, of: Option<Incarnation>) -> RoutingQuery {
         let source = self.source();
         let source = source.filter(|(incarnation, _)| Some(*incarnation) == of);
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Takes over what a peer knows, as far as it is newer.
+    /// Merges a peer's state, as far as it is newer.
     fn take(&self, members: &Members, state: RoutingState) {
         let theirs = state.known;
         members.adopt(state.instances, theirs.instances);
@@ -155,7 +156,7 @@
         self.note(theirs);
     }
 
-    /// Notes that this instance knows all that a peer knows.
+    /// Records that this instance knows everything that a peer knows.
     fn note(&self, theirs: KnownState) {
         self.freshness.on_configuration(theirs.version_age_ms);
         self.freshness.on_servers(theirs.servers_age_ms);
@@ -167,8 +168,8 @@
         *lock(&self.source)
     }
 
-    /// Tells a peer what this instance knows beyond it, unless it has told as much as
-    /// its link takes.
+    /// Returns what this instance knows beyond a peer, or `None` if snapshots already
+    /// sent have used up the bandwidth budget.
     pub(super) fn answer(&self, members: &Members, question: RoutingQuery) -> Option<RoutingState> {
         let known_up_to = question
             .revision
@@ -202,8 +203,8 @@
     }
 }
 
-/// Asks other instances for routes and servers while the store does not give
-/// them, and the instance that schedules does not either.
+/// Queries other instances for routes and servers while neither the store nor the
+/// scheduler provides them.
 pub(super) async fn run(members: Arc<Members>, catch_up: Arc<CatchUp>) {
     loop {
         time::sleep(CATCH_UP_INTERVAL).await;
@@ -217,7 +218,7 @@
             tokio::spawn(async move { learn(&members, &catch_up, &contact).await })
         });
         for task in asked.collect::<Vec<_>>() {
-            // A task that panicked has said so; the next round asks again.
+            // A panic has already been reported; the next round queries again.
             let _ = task.await;
         }
     }
--- a/crates/server/src/gateway/crashes.rs
+++ b/crates/server/src/gateway/crashes.rs
@@ -1,4 +1,4 @@
-//! Finds out whether a backend server ended under its requests.
+//! Finds out whether a backend server crashed under its requests.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard},
@@ -22,24 +22,24 @@
 use super::{freshness::Freshness, knowledge::Knowledge, quarantine::Quarantine};
 use crate::{connections::Connections, lock::lock, probing, suspects};
 
-/// Time between two looks at servers of which it is not known whether they have ended.
+/// Interval between two checks of servers whose fate is unknown.
 const LOOK_INTERVAL: Duration = Duration::from_millis(500);
-/// Time after which it is given up to learn what became of a server: entries lapse
-/// within 4 s, and it takes a second until that is read.
+/// Time after which an unknown fate stays unresolved: register entries lapse within 4 s,
+/// and it takes another second until that is read.
 const UNKNOWN_FOR: Duration = Duration::from_secs(10);
-/// Time after which a server that is registered still runs: one that had ended would
-/// have lapsed by then, and the register been read.
+/// Time after which a server that is still registered counts as running: the entry of a
+/// crashed one would have lapsed by then, and the register been read.
 const RUNS_ON_AFTER: Duration = Duration::from_secs(8);
-/// Time for which a server that seems to have ended may come back as the same run, as
-/// after a partition.
+/// Time within which a server that seems to have crashed may return as the same run, as
+/// after a network partition.
 const RETURNS_WITHIN: Duration = Duration::from_secs(60);
-/// Age of what is known of the register beyond which it says nothing of single servers,
-/// in ms.
+/// Age of the register beyond which it is no evidence about single servers, in ms.
 const FRESH_MS: u64 = 2_000;
-/// Most losses that are looked at; with more, the earliest are left as they are.
+/// Maximum number of losses under observation; beyond it, the earliest are dropped
+/// unresolved.
 const MOST_WATCHED: usize = 1_024;
 
-/// Finds out what became of servers whose connections were lost.
+/// Determines the fate of servers whose connections were lost.
 #[derive(Debug)]
 pub(super) struct CrashDetector {
     log: Logger,
@@ -48,33 +48,33 @@
     servers: Arc<Connections>,
     quarantine: Arc<Quarantine>,
     watched: Mutex<Vec<Watched>>,
-    /// Told when there is something to watch.
+    /// Notified when a loss is added.
     has_watched: Notify,
 }
 
-/// A server whose connection was lost.
+/// The loss of a connection to a server.
 #[derive(Clone, Debug)]
 pub(super) struct LostServer {
-    /// The server, as it was registered when its requests were sent.
+    /// The server's registration when its requests were sent.
     pub(super) server: ServerEntry,
-    /// Requests that went over the connection.
+    /// Requests that the connection carried.
     pub(super) requests: Vec<(RequestId, RequestDigest)>,
-    /// Other requests of this instance that it ran.
+    /// Number of other requests of this instance that the server was running.
     pub(super) others: u32,
 }
 
-/// A loss that has to be looked at again.
+/// A loss that has to be checked again.
 #[derive(Clone, Debug)]
 struct Watched {
     lost: LostServer,
     since: Instant,
-    /// What said that the server has ended, unless that is not known.
+    /// Evidence that the server crashed; `None` while its fate is unknown.
     evidence: Option<Evidence>,
 }
 
 impl Watched {
-    /// Tells whether a server that was taken for ended runs on by what a register says
-    /// that is fresh.
+    /// Returns whether a server that was judged crashed is still running, according to a
+    /// fresh register.
     fn runs_on(&self, registered: Registered) -> bool {
         let has_lapsed = self.evidence == Some(Evidence::Lapsed);
         registered == Registered::Ready && (has_lapsed || self.since.elapsed() >= RUNS_ON_AFTER)
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Finds out what became of a server, and tells the other instances if it has ended.
-    /// What takes longer than callers should wait for is found out later.
+    /// Determines the fate of a server, and reports it to the other instances if it
+    /// crashed. Checks that would keep callers waiting too long run later.
     pub(super) async fn on_lost(&self, lost: LostServer) -> Fate {
         let probes = time::timeout(probing::PROBE_TIMEOUT, self.probe(&lost.server)).await;
         let (probe, neighbour) = probes.unwrap_or((Probe::Unknown, Probe::Unknown));
@@ -118,7 +118,7 @@
         fate
     }
 
-    /// Looks after a while what became of a server that stayed silent.
+    /// Schedules a later check of a server that stayed silent.
     pub(super) fn on_silent(&self, lost: LostServer) {
         self.watch(lost, None);
     }
@@ -169,7 +169,7 @@
         probing::probe(&self.servers, server.addr, neighbours).await
     }
 
-    /// Looks at what is watched once, all of it at the same time.
+    /// Checks all watched losses once, concurrently.
     async fn look(self: &Arc<Self>) {
         let watched = std::mem::take(&mut *self.watched());
         let mut looks = JoinSet::new();
@@ -206,7 +206,7 @@
     }
 }
 
-/// Looks at servers whose connections were lost until it is known what became of them.
+/// Checks servers whose connections were lost until their fate is known.
 pub(super) async fn watch(ends: Arc<CrashDetector>) {
     loop {
         if ends.watched().is_empty() {
--- a/crates/server/src/gateway/departure.rs
+++ b/crates/server/src/gateway/departure.rs
@@ -1,4 +1,4 @@
-//! When this instance ends, and what time that leaves its requests.
+//! When this process exits, and how much time that leaves for requests.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
     time::{self, Instant},
 };
 
-/// Time before the end of the process at which requests that no server has
-/// answered get their final answer: some turns of a busy process, and the way to
-/// the caller.
+/// Time before the process exits at which unanswered requests get their final response:
+/// enough for some scheduling delays of a busy process and the network latency to the
+/// caller.
 const ANSWER_SPARE: Duration = Duration::from_millis(300);
 
-/// The end of this instance, once it was told to stop.
+/// Deadline of the shutdown, once one has been requested.
 #[derive(Debug)]
 pub(super) struct Departure {
     answers_by: watch::Sender<Option<Instant>>,
@@ -25,19 +25,19 @@
         }
     }
 
-    /// Notes that the process ends at `at`.
+    /// Sets the time at which the process exits.
     pub(super) fn set(&self, at: Instant) {
         self.answers_by.send_replace(Some(at - ANSWER_SPARE));
     }
 
-    /// Returns the time by which every request has its final answer, once it is
-    /// known.
+    /// Returns the time by which every request gets its final response, if a shutdown has
+    /// been requested.
     pub(super) fn answers_by(&self) -> Option<Instant> {
         *self.answers_by.borrow()
     }
 
-    /// Waits until only `left` remains for answers; for ever while this instance
-    /// is not to stop.
+    /// Waits until at most `left` remains before the final responses; waits forever while
+    /// no shutdown has been requested.
     pub(super) async fn nears(&self, left: Duration) {
         let mut answers_by = self.answers_by.subscribe();
         // The sender lives as long as `self`.
--- a/crates/server/src/gateway/dispatch.rs
+++ b/crates/server/src/gateway/dispatch.rs
@@ -1,5 +1,5 @@
-//! Puts timers round the scheduler of stages, has its calls made, and tells whoever
-//! submitted a request how its stages ended.
+//! Drives the stage scheduler: runs its timers, makes its calls, and returns to each
+//! submitter how its stages ended.
 
 use std::{
     collections::HashMap,
@@ -26,15 +26,15 @@
 };
 use crate::{clock::Clock, lock::lock};
 
-/// Time for which results are gathered before a server is told to free them.
+/// Time for which results are batched before a server is asked to free them.
 const FREE_DELAY: Duration = Duration::from_millis(20);
-/// Time between two looks at the part of limits that this instance uses: it is heard that
-/// others are gone within 1.5 s.
+/// Interval at which this instance's share of the rate limits is recomputed: the loss of
+/// an instance is detected within 1.5 s.
 const SHARE_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest time between two looks at the scheduler.
+/// Longest time between two polls of the scheduler.
 const LONGEST_SLEEP: Duration = Duration::from_secs(1);
 
-/// The scheduler of stages of this instance.
+/// The stage scheduler of this instance.
 #[derive(Debug)]
 pub(super) struct Dispatch {
     log: Logger,
@@ -46,11 +46,11 @@
     scheduler: Mutex<StageScheduler>,
     waiters: Mutex<HashMap<RequestKey, oneshot::Sender<StageOutcome>>>,
     unneeded: Mutex<HashMap<BackendName, (SocketAddr, Vec<String>)>>,
-    /// Told when the scheduler has to be looked at earlier.
+    /// Notified when the scheduler may have to be polled earlier.
     changed: Notify,
 }
 
-/// Gives up the stages of a request when it is dropped before their end.
+/// Cancels the stages of a request when dropped before they end.
 struct Submitted<'a> {
     dispatch: &'a Dispatch,
     key: &'a RequestKey,
@@ -88,9 +88,9 @@
         })
     }
 
-    /// Runs the stages of a request; dropping the future gives them up.
+    /// Runs the stages of a request; dropping the future cancels them.
     pub(super) async fn run(self: &Arc<Self>, mut submission: Submission) -> StageOutcome {
-        // Whoever submits it may know less of it, as after a partition.
+        // The submitter may know of fewer crashes, as after a partition.
         if let Standing::Quarantined { .. } = self.quarantine.standing(&submission.digest) {
             return StageOutcome::ends_servers();
         }
@@ -141,13 +141,13 @@
             "elapsed_ms" => began.elapsed().as_millis() as u64);
     }
 
-    /// Notes that the results of a request are not needed any more.
+    /// Releases the results of a request, which are no longer needed.
     pub(super) fn release(self: &Arc<Self>, key: &RequestKey) {
         self.scheduler().release(key);
         self.carry_out();
     }
 
-    /// Hands what is not finished over to the instance that schedules now.
+    /// Hands all unfinished requests over to the instance that is the scheduler now.
     pub(super) fn hand_over(self: &Arc<Self>, to: Option<&InstanceName>) {
         let (requests, waiting, calls) = self.scheduler().load();
         if requests == 0 {
@@ -165,7 +165,7 @@
         self.changed.notify_one();
     }
 
-    /// Carries out what the scheduler asks for.
+    /// Executes the scheduler's pending actions.
     fn carry_out(self: &Arc<Self>) {
         let actions = self.scheduler().poll(self.clock.now_ms());
         for action in actions {
@@ -185,7 +185,7 @@
                 }
                 StageAction::Finish { key, outcome } => {
                     let waiter = self.waiters().remove(&key);
-                    // Whoever waited may have gone at this moment.
+                    // The submitter may have dropped its receiver meanwhile.
                     let _ = waiter.map(|waiter| waiter.send(outcome));
                 }
             }
@@ -193,8 +193,8 @@
         self.changed.notify_one();
     }
 
-    /// Tells the scheduler once a server that could not be reached is back, so that no
-    /// piece has to find that out.
+    /// Reports an unreachable server to the scheduler once it accepts connections again,
+    /// so that no piece has to probe it.
     async fn probe(self: Arc<Self>, server: &BackendName, addr: SocketAddr) {
         if self.calls.reach(server, addr).await {
             self.scheduler().on_reachable(server);
@@ -209,8 +209,8 @@
         self.carry_out();
     }
 
-    /// Tells a server soon that results are not needed any more, together with
-    /// those that come until then.
+    /// Frees results at a server after `FREE_DELAY`, together with those added until
+    /// then.
     fn free_soon(self: &Arc<Self>, server: BackendName, addr: SocketAddr, handles: Vec<String>) {
         {
             let mut unneeded = lock(&self.unneeded);
@@ -250,7 +250,7 @@
     }
 }
 
-/// Looks at the scheduler whenever its time has come.
+/// Polls the scheduler whenever it is due.
 pub(super) async fn run(dispatch: Arc<Dispatch>) {
     loop {
         let now_ms = dispatch.clock.now_ms();
@@ -264,8 +264,8 @@
     }
 }
 
-/// Keeps the scheduler's view of limits up to date, and of the part that this instance
-/// uses of them.
+/// Keeps the scheduler's copy of the rate limits up to date, and this instance's share of
+/// them.
 pub(super) async fn follow_limits(dispatch: Arc<Dispatch>) {
     loop {
         let share = dispatch.limits.share();
@@ -283,8 +283,8 @@
     }
 }
 
-/// Keeps the scheduler's view of servers up to date, and closes the connections that
-/// are kept to runs that are gone: another one may have their address.
+/// Keeps the scheduler's copy of the servers up to date, and closes pooled connections to
+/// runs that are gone: another run may have their address.
 pub(super) async fn configure(dispatch: Arc<Dispatch>) {
     let mut addrs: HashMap<BackendName, SocketAddr> = HashMap::new();
     loop {
--- a/crates/server/src/gateway/follow.rs
+++ b/crates/server/src/gateway/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the store: the configuration, and the list of our own instances.
+//! Follows the store's topics for the configuration and the list of instances.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,39 +18,39 @@
     store::{Newest, Reading, Result, StoreClient, StoreError},
 };
 
-/// Time that one read of the configuration waits for a change where nobody else
-/// tells it: short enough that a connection that went silent is noticed within
-/// the time in which a change has to be in force.
+/// Time that one read of the configuration waits for a change where no other instance
+/// sends updates: short enough to detect a connection that went silent within the time in
+/// which a change has to be in force.
 const CONFIGURATION_WAIT: Duration = Duration::from_millis(1_000);
-/// Time between two looks at whether another instance still tells changes: meanwhile
-/// the store is left alone, since its calls are dear.
+/// Interval between two checks whether another instance still sends updates. Meanwhile
+/// this instance does not call the store, since store calls are expensive.
 pub(super) const TOLD_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between two reads of the list of instances.
+/// Interval between two reads of the list of instances.
 const INSTANCES_INTERVAL: Duration = Duration::from_secs(5);
 /// The same in the first seconds, in which all instances start.
 const FIRST_INSTANCES_INTERVAL: Duration = Duration::from_secs(1);
-/// Time from the write of this instance into the list to the next read of it: all
-/// instances of a deployment start within 300 ms of each other.
+/// Delay from this instance's write into the list to the next read of it: all instances
+/// of a deployment start within 300 ms of each other.
 const LISTED_DELAY: Duration = Duration::from_millis(300);
-/// Longest time before an instance that the store has lost writes itself again, in ms:
-/// hundreds that are lost together do so one after the other.
+/// Longest random delay before an instance that the store has lost writes itself again,
+/// in ms: hundreds that are lost together spread their writes.
 const LIST_AGAIN_MS: u64 = 1_000;
-/// Reads of the list of instances in those first seconds.
+/// Number of reads of the list at the shorter interval.
 const FIRST_INSTANCES_READS: u32 = 4;
 
-/// What following the store needs.
+/// Dependencies of the tasks that follow the store.
 #[derive(Clone, Debug)]
 pub(super) struct StoreFollower {
     pub(super) store: StoreClient,
     pub(super) knowledge: Arc<Knowledge>,
     pub(super) freshness: Arc<Freshness>,
     pub(super) members: Arc<Members>,
-    /// Whether the store has nothing to read when this instance starts.
+    /// Whether the store is empty when this instance starts.
     pub(super) is_first_start: bool,
     pub(super) log: Logger,
 }
 
-/// A topic that is followed, and how its calls go.
+/// Reads one topic, and tracks whether its reads fail.
 pub(super) struct Topical {
     topic: Topic,
     name: &'static str,
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Reads what is new from `from` on, waiting up to `wait`, or the newest of each key
-    /// where there is none.
+    /// Reads the records from `from` on, waiting up to `wait` for one, or the latest
+    /// record of each key where there is no `from`.
     pub(super) async fn read(
         &self,
         store: &StoreClient,
@@ -101,7 +101,8 @@
         })
     }
 
-    /// Notes how a read went; returns how long it had failed before it did not.
+    /// Records the outcome of a read; returns how long reads had failed when one succeeds
+    /// again.
     pub(super) fn on_read<T>(
         &mut self,
         result: &std::result::Result<T, StoreError>,
@@ -123,8 +124,8 @@
         }
     }
 
-    /// Returns how long a read waits for a record: one that tries whether the store is
-    /// back does not wait, so that the others know it.
+    /// Returns how long a read waits for a record: the first after a failure does not
+    /// wait, so that the other instances learn soon that the store is back.
     fn wait(&self, usual: Duration) -> Duration {
         if self.failing_since.is_some() {
             Duration::ZERO
@@ -156,9 +157,9 @@
             time::sleep(wait.min(TOLD_INTERVAL)).await;
             continue;
         }
-        // One that has just begun to read for all has known nothing new for a while, and
-        // the others go by that: with a whole wait on top they all read for themselves
-        // (68 calls of 30 instances at their start).
+        // A new reader has received nothing new for a while, and the others judge the age
+        // of its state: if it waited the full time on top, they would all start to read
+        // for themselves (68 calls of 30 instances at their start).
         let age = Duration::from_millis(freshness.configuration_age_ms());
         let wait = topical.wait(CONFIGURATION_WAIT.saturating_sub(age));
         let read = topical.read(&store, next, wait).await;
@@ -186,8 +187,8 @@
     }
 }
 
-/// Follows the list of instances, and writes this instance into it where it does not
-/// say what this instance is.
+/// Follows the list of instances, and writes this instance's entry where it is missing or
+/// outdated.
 pub(super) async fn instances(follower: StoreFollower) {
     let StoreFollower {
         store,
@@ -220,8 +221,8 @@
         };
         if reads == 0 && !members.is_listed_as_it_is(&batch) {
             match members.write_self(&store).await {
-                // Others that start now write themselves too: half a list would have
-                // each of them schedule for itself.
+                // Other starting instances write their entries too: with half a list,
+                // each of them would become its own scheduler.
                 Ok(()) => time::sleep(LISTED_DELAY).await,
                 Err(err) => warn!(log, "instance not listed yet"; "error" => %err),
             }
@@ -238,8 +239,8 @@
     }
 }
 
-/// Writes this instance into the list again, which a store that came back from a copy
-/// lacks.
+/// Writes this instance's entry again after the store was restored from a copy that lacks
+/// it.
 async fn list_again(members: &Members, store: &StoreClient, log: &Logger) {
     time::sleep(Duration::from_millis(rand::random_range(0..LIST_AGAIN_MS))).await;
     if store.begin().is_err() {
--- a/crates/server/src/gateway/forward.rs
+++ b/crates/server/src/gateway/forward.rs
@@ -1,4 +1,4 @@
-//! Forwards a request: from its head to its final answer.
+//! Forwards a request: from its head to its final response.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -31,17 +31,17 @@
     http_body::{self, Body},
 };
 
-/// Time for a caller's body to arrive.
+/// Timeout for a caller's body to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time that a caller waits who does not say how long.
+/// Deadline of a request that names none.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
-/// Tokens of a prompt that an engine reads in a ms, by the engines' sheets.
+/// Prompt tokens that an engine processes per ms, by the engines' data sheets.
 const TOKENS_PER_MS: u64 = 57;
-/// Time of a generation until its first event beside its prompt, in ms: what
-/// the engines' sheets say, the way, and a chunk of another prompt.
+/// Time from sending a request to its first event without its prompt's processing, in ms:
+/// what the engines' data sheets say, network latency, and one chunk of another prompt.
 const FIRST_EVENT_MS: u64 = 60;
 
-/// What forwarding a request needs.
+/// Dependencies for forwarding requests.
 #[derive(Debug)]
 pub(super) struct Forwarder {
     pub(super) log: Logger,
@@ -56,25 +56,25 @@
     pub(super) limits: Arc<LimitSharing>,
 }
 
-/// Results of a request's stages.
+/// Results of a request's stages, the inputs of its main call.
 #[derive(Debug, Default)]
 pub(super) struct Inputs {
     pub(super) handles: Vec<String>,
-    /// Where they are, in bytes.
+    /// Size of the results in each availability zone, in bytes.
     pub(super) by_zone: Vec<(ZoneName, u64)>,
-    /// Lets them go when dropped.
+    /// Releases the results when dropped.
     pub(super) held: Option<Held>,
 }
 
 impl Inputs {
-    /// Tells whether there were results that have been let go.
+    /// Returns whether there were results that have been released.
     pub(super) fn are_gone(&self) -> bool {
         self.held.is_none() && !self.handles.is_empty()
     }
 }
 
 impl Forwarder {
-    /// Answers a request of a caller.
+    /// Responds to a caller's request.
     pub(super) async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         let arrived = Instant::now();
         let head = request::decode(request.headers());
@@ -145,7 +145,7 @@
         })
     }
 
-    /// Has the stages run that come before a request.
+    /// Runs the stages that precede a request.
     pub(super) async fn run_stages(&self, caller: &CallerRequest) -> Result<Inputs, Why> {
         let route = caller.route();
         let stages: Vec<StageWork> = route
@@ -204,7 +204,8 @@
                     held: ended.held,
                 })
             }
-            // Whoever runs stages goes on with those that were handed over.
+            // The runner of stages resubmits those that were handed over and never
+            // returns this.
             StageOutcome::Moved { .. } => Err(Why::Stages(Refusal::Failed, 0)),
             StageOutcome::Refused {
                 reason: Refusal::EndsServers,
@@ -224,14 +225,16 @@
         }
     }
 
-    /// Returns how long an answer to a request usually takes once it is sent.
+    /// Returns how long a response to a request of this route usually takes after the
+    /// send.
     pub(super) fn answer_time(&self, caller: &CallerRequest) -> Duration {
         let usual_ms = self.knowledge.answer_times().usual_ms(&caller.route().name);
         Duration::from_millis(usual_ms)
     }
 
-    /// Returns how long a request may wait until it is sent: until its caller
-    /// gives up or, while this instance leaves, until `answer_time` is left of it.
+    /// Returns how long a request may wait before it is sent: until its deadline or,
+    /// while this instance shuts down, until `answer_time` before the final responses are
+    /// due.
     pub(super) fn time_to_wait(
         &self,
         caller: &CallerRequest,
@@ -265,7 +268,7 @@
         server
     }
 
-    /// Finds the server for a send, and says why it is that one.
+    /// Finds the server for a send, and the reason for the choice.
     pub(super) fn find(
         &self,
         caller: &CallerRequest,
@@ -306,7 +309,7 @@
     }
 }
 
-/// Returns what the choice of a request's server goes by.
+/// Returns the criteria for the choice of a request's server.
 pub(super) fn placement<'a>(
     caller: &'a CallerRequest,
     inputs: &'a Inputs,
--- a/crates/server/src/gateway/freshness.rs
+++ b/crates/server/src/gateway/freshness.rs
@@ -1,4 +1,4 @@
-//! How old what an instance knows of routes and servers is.
+//! Age of an instance's routes and servers.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
@@ -6,18 +6,19 @@
 
 use crate::clock::Clock;
 
-/// When what an instance knows was last known to be the newest.
+/// Records when an instance's routes and servers were last known to be current.
 #[derive(Debug)]
 pub(super) struct Freshness {
     clock: Clock,
     in_force: InForce,
     configuration_ms: AtomicU64,
     servers_ms: AtomicU64,
-    /// Time until which a peer has told all that it knew, in ms.
+    /// Latest time at which this instance had everything that a peer or the store knew,
+    /// in ms.
     told_ms: AtomicU64,
-    /// Whether the instance that schedules reaches the store, as it said last.
+    /// Whether the scheduler reaches the store, as it last reported.
     scheduler_has_store: AtomicBool,
-    /// Time at which it said last that it does not, in ms.
+    /// Time of its last report that it does not, in ms.
     scheduler_lost_store_ms: AtomicU64,
 }
 
@@ -34,23 +35,23 @@
         }
     }
 
-    /// Notes that the configuration was the newest `age_ms` ago.
+    /// Records that the configuration was current `age_ms` ago.
     pub(super) fn on_configuration(&self, age_ms: u64) {
         self.note(&self.configuration_ms, age_ms);
     }
 
-    /// Notes that the servers were the newest `age_ms` ago.
+    /// Records that the servers were current `age_ms` ago.
     pub(super) fn on_servers(&self, age_ms: u64) {
         self.note(&self.servers_ms, age_ms);
     }
 
-    /// Notes that a peer has told all that it knew, which the store had told
-    /// `age_ms` ago, or that the store itself has.
+    /// Records that this instance has everything that a peer or the store knew, which was
+    /// current `age_ms` ago.
     pub(super) fn on_told(&self, age_ms: u64) {
         self.note(&self.told_ms, age_ms);
     }
 
-    /// Notes whether the instance that schedules reaches the store.
+    /// Records whether the scheduler reaches the store.
     pub(super) fn on_scheduler(&self, has_store: bool) {
         self.scheduler_has_store.store(has_store, Ordering::Relaxed);
         if !has_store {
@@ -58,9 +59,9 @@
         }
     }
 
-    /// Tells whether the store seems to have been away since the servers were the newest:
-    /// a call of this instance failed, `failed_ago_ms` ago, or the instance that schedules
-    /// did not reach it.
+    /// Returns whether the store seems to have been unavailable since the servers were
+    /// last current: a call of this instance failed `failed_ago_ms` ago, or the scheduler
+    /// could not reach it.
     pub(super) fn had_outage(&self, failed_ago_ms: Option<u64>) -> bool {
         let servers_age_ms = self.servers_age_ms();
         let scheduler_ago_ms = self.age_ms(&self.scheduler_lost_store_ms);
@@ -78,14 +79,15 @@
         self.age_ms(&self.servers_ms)
     }
 
-    /// Tells whether `reader` leaves the store alone, since it is told what that says.
+    /// Returns whether `reader` need not read the store, since updates reach it from a
+    /// peer.
     pub(super) fn is_told(&self, reader: Reader) -> bool {
         let has_store = self.scheduler_has_store.load(Ordering::Relaxed);
         self.age_ms(&self.told_ms) < reader.reads_from_ms(self.in_force, has_store)
     }
 
-    /// Tells whether `reader`, which reaches the store if `has_store`, queries the reserves
-    /// for what is new.
+    /// Returns whether `reader`, which reaches the store if `has_store`, queries the
+    /// reserves for updates.
     pub(super) fn wants_reserves(&self, reader: Reader, has_store: bool) -> bool {
         let oldest_ms = self.configuration_age_ms().max(self.servers_age_ms());
         oldest_ms >= reader.queries_reserves_from_ms(self.in_force, has_store)
--- a/crates/server/src/gateway/granting.rs
+++ b/crates/server/src/gateway/granting.rs
@@ -1,4 +1,5 @@
-//! Obtains the grants that a request needs for rate-limited servers, and says why it has none.
+//! Obtains the grants that a request needs for rate-limited servers, and explains why no
+//! server accepts it.
 
 use savoryvane_core::{
     forwarding::{GrantPurpose, GrantQuery, GrantState, Placement},
@@ -16,8 +17,8 @@
 /// Grant queries before a request is rejected: one for the best server, two for any.
 const MAX_GRANT_QUERIES: u32 = 3;
 impl Forwarder {
-    /// Refuses a request before its stages where all servers of its service name limits and
-    /// they have no place for it.
+    /// Rejects a request before its stages run if all servers of its service have rate
+    /// limits and none has capacity for it.
     pub(super) async fn ask_admission(&self, caller: &CallerRequest) -> Result<(), Why> {
         if caller.route().stages.is_empty() {
             return Ok(());
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Chooses the server of the next send, with a grant where it names a limit.
+    /// Chooses the server of the next send, with a grant if the server has a rate limit.
     pub(super) async fn choose_granted(
         &self,
         caller: &CallerRequest,
@@ -75,7 +76,7 @@
         Err(refusal)
     }
 
-    /// Returns the servers to request a grant for; none where `chosen` needs none.
+    /// Returns the servers to request a grant for; empty if `chosen` needs none.
     fn grant_candidates(
         &self,
         placement: &Placement<'_>,
@@ -90,8 +91,8 @@
         fleet.grant_candidates(now_ms, placement, chosen, is_any_wanted)
     }
 
-    /// Tells why no server takes a request, and when one will: after a backoff, or, where all
-    /// have a limit, as the instance says that schedules.
+    /// Returns why no server accepts a request, and when one will: after a backoff or, if
+    /// all servers have rate limits, when the scheduler expects capacity.
     pub(super) async fn why_no_server(&self, caller: &CallerRequest) -> Why {
         let now_ms = self.clock.now_ms();
         let (servers, return_after_ms) = {
--- a/crates/server/src/gateway/ingress.rs
+++ b/crates/server/src/gateway/ingress.rs
@@ -1,4 +1,4 @@
-//! The listeners of a forwarding instance, and what they answer.
+//! The HTTP services of a gateway's listeners.
 
 use std::{convert::Infallible, sync::Arc};
 
@@ -23,9 +23,9 @@
 /// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// What connections may send. Callers keep to the operator's limits; these
-/// bound what a connection costs. An idle one is closed long after callers stop
-/// using it, since a request that crosses its end is lost.
+/// Limits of a connection. Callers keep to the operator's limits; these bound the cost of
+/// a connection. An idle connection is closed long after callers stop using it, since a
+/// request that arrives while it is being closed is lost.
 pub(super) const LIMITS: Limits = Limits {
     header_bytes: 64 << 10,
     body_bytes: 8 << 20,
@@ -44,8 +44,7 @@
     }))
 }
 
-/// Builds the service of the listener on which the platform asks whether the
-/// instance takes requests.
+/// Builds the service of the listener for the platform's readiness checks.
 pub(super) fn ready(phases: Arc<Phases>) -> Service {
     BoxCloneSyncService::new(tower::service_fn(move |request: Request<Incoming>| {
         let is_ready = phases.current() == Phase::Serving;
--- a/crates/server/src/gateway/instance.rs
+++ b/crates/server/src/gateway/instance.rs
@@ -1,4 +1,4 @@
-//! One running instance that forwards requests: its parts, its tasks, its end.
+//! A running gateway instance: its components, its tasks, its shutdown.
 
 use std::{io, sync::Arc, time::Duration};
 
@@ -45,17 +45,17 @@
     phase::{Phase, Phases},
 };
 
-/// Time for a connection to a backend server to be made: they answer within
-/// some ms, and one that does not is replaced by another.
+/// Timeout for connecting to a backend server: servers accept within some ms, and one
+/// that does not is replaced by another.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Idle connections that are kept to one backend server.
+/// Maximum number of idle connections to one backend server.
 const MAX_IDLE: usize = 4;
 /// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time between two looks for idle connections to close.
+/// Interval between two checks for idle connections to close.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(2);
 
-/// One running instance that forwards requests.
+/// A running gateway instance.
 #[derive(Debug)]
 pub struct Gateway {
     log: Logger,
@@ -63,7 +63,7 @@
     phases: Arc<Phases>,
     departure: Arc<Departure>,
     connections: TaskTracker,
-    /// Tasks that run for as long as the instance; aborted when dropped.
+    /// Tasks that run as long as the instance; aborted when dropped.
     background: JoinSet<()>,
 }
 
@@ -86,7 +86,7 @@
         })
     }
 
-    /// Returns the addresses that were taken, where any free port was asked for.
+    /// Returns the bound addresses, with the ports that the system assigned.
     fn addresses(&self) -> Result<GatewayListen> {
         Ok(GatewayListen {
             caller: local_addr(&self.caller)?,
@@ -127,14 +127,13 @@
         })
     }
 
-    /// Returns the settings that it was started with, and the addresses that it
-    /// has taken.
+    /// Returns the settings that the instance was started with, with the bound addresses.
     pub fn settings(&self) -> &GatewaySettings {
         &self.settings
     }
 
-    /// Notes that the settings file has changed. What an instance listens on and
-    /// talks to stays as it was started.
+    /// Logs that the settings file has changed. A running instance keeps the settings
+    /// that it was started with.
     pub fn on_reload(&self, settings: Result<GatewaySettings>) {
         match settings {
             Ok(settings) => {
@@ -145,8 +144,8 @@
         }
     }
 
-    /// Leaves: says that it is not ready, goes on for the grace time, then
-    /// accepts nothing new and finishes every request in flight.
+    /// Shuts down: reports that it is not ready, keeps accepting connections for the
+    /// grace time, then accepts nothing new and finishes every request in flight.
     pub async fn leave(mut self) -> Ended {
         let drain = self.settings.drain;
         info!(self.log, "leaving"; "connections" => self.connections.len());
@@ -167,7 +166,7 @@
     }
 }
 
-/// The parts of an instance, each with what it needs of the others.
+/// The components of an instance, with their shared dependencies.
 struct Parts {
     log: Logger,
     clock: Clock,
@@ -223,7 +222,7 @@
         let members = Arc::new(members);
         let freshness = Arc::new(Freshness::new(clock, settings.in_force));
         if settings.is_first_start {
-            // There is nothing to read yet; who schedules tells what comes.
+            // There is nothing to read yet; the scheduler sends all updates.
             freshness.on_told(0);
         }
         let catch_up = Arc::new(CatchUp::new(
@@ -320,7 +319,7 @@
         let callers = ingress::callers(Arc::clone(&self.forwarder));
         let draining = self.acceptor(Arc::clone(&self.phases), connections.clone());
         tasks.spawn(draining.run(listeners.caller, callers));
-        // The platform and collectors can ask until the very end.
+        // The readiness and metrics listeners stay available until the process exits.
         let ready = ingress::ready(Arc::clone(&self.phases));
         self.spawn_lasting(&mut tasks, listeners.ready, ready);
         let metrics = ingress::metrics(Arc::new(Meters::install()));
@@ -383,7 +382,7 @@
     }
 }
 
-/// Says that the instance takes requests once it knows routes and servers.
+/// Marks the instance as ready once it knows routes and servers.
 async fn become_ready(knowledge: Arc<Knowledge>, phases: Arc<Phases>, log: Logger) {
     while knowledge.table().is_none() || knowledge.directory().is_empty() {
         time::sleep(Duration::from_millis(20)).await;
--- a/crates/server/src/gateway/keeping.rs
+++ b/crates/server/src/gateway/keeping.rs
@@ -1,4 +1,4 @@
-//! Keeps quarantined requests in the store, for the case that all instances are lost.
+//! Persists quarantined requests in the store, in case all instances are lost.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,31 +14,33 @@
 };
 use crate::clock::Clock;
 
-/// Time from its start for an instance to be told what is known, before it reads the store
-/// for it, a call: about when it knows routes and servers, so that its first requests
-/// hardly wait. With 150 ms they had too little time left for their stages on a busy
-/// machine (11 of 20 runs of a test beside ten busy processes).
+/// Time from the start of an instance to receive the known crashes from a peer before it
+/// reads them from the store, which takes a call: about as long as it takes to learn
+/// routes and servers, so that its first requests hardly wait. With 150 ms they had too
+/// little time left for their stages on a busy machine (11 of 20 runs of a test beside
+/// ten busy processes).
 const TOLD_WITHIN: Duration = Duration::from_millis(30);
-/// Longest time between two looks at what is to be kept or forgotten.
+/// Longest time between two checks for requests to persist or to expire.
 const LOOK_INTERVAL: Duration = Duration::from_secs(1);
-/// Pause after a look, so that what comes together is looked at together.
+/// Delay after a wakeup, so that changes that arrive together are written together.
 const GATHER_TIME: Duration = Duration::from_millis(50);
 
-/// Keeps quarantined requests in the store. Only the instance that schedules reads and
-/// writes there: a read when it begins to, a write for each request, none in between.
+/// Persists quarantined requests in the store. Only the scheduler reads and writes there:
+/// one read when it becomes the scheduler and one write per request, with no polling in
+/// between.
 pub(super) struct Keeper {
     pub(super) quarantine: Arc<Quarantine>,
     pub(super) members: Arc<Members>,
     pub(super) store: StoreClient,
     pub(super) clock: Clock,
-    /// Whether the store has nothing to read when this instance starts.
+    /// Whether the store is empty when this instance starts.
     pub(super) is_first_start: bool,
     pub(super) log: Logger,
 }
 
 impl Keeper {
-    /// Learns what was known before this instance started, from the instance that
-    /// schedules or, where that has not told in time, from the store.
+    /// Loads the crashes that were known before this instance started, from the scheduler
+    /// or, if that does not send them in time, from the store.
     pub(super) async fn learn(self: Arc<Self>) {
         if self.quarantine.loaded(TOLD_WITHIN).await {
             return;
@@ -49,7 +51,7 @@
         self.quarantine.on_loaded();
     }
 
-    /// Runs for as long as the instance does.
+    /// Runs as long as the instance.
     pub(super) async fn run(self: Arc<Self>) {
         let mut has_read = self.is_first_start;
         if has_read {
@@ -64,12 +66,12 @@
             } else {
                 LOOK_INTERVAL
             };
-            // Whichever comes first, it is time to look.
+            // A change and the timeout have the same effect.
             let _ = time::timeout(look, changed).await;
             time::sleep(GATHER_TIME).await;
             self.quarantine.book().forget_old(self.clock.now_ms());
             if self.members.reader() != Reader::Scheduler {
-                // Another one writes meanwhile.
+                // Another instance writes meanwhile.
                 has_read = false;
                 continue;
             }
@@ -82,7 +84,7 @@
             }
             if !has_read {
                 has_read = self.read().await;
-                // Without the store it goes by what the others tell.
+                // Without the store, the reports of the other instances have to do.
                 self.quarantine.on_loaded();
             }
             let revision = self.quarantine.book().revision();
@@ -92,12 +94,12 @@
         }
     }
 
-    /// Tells whether this instance schedules and has not read the store for it.
+    /// Returns whether this instance is the scheduler and has not read the store yet.
     fn is_waited_for(&self, has_read: bool) -> bool {
         !has_read && self.members.reader() == Reader::Scheduler
     }
 
-    /// Reads what is kept; tells whether it could.
+    /// Reads the persisted requests; returns whether that succeeded.
     async fn read(&self) -> bool {
         if self.store.begin().is_err() {
             return false;
@@ -125,7 +127,8 @@
         true
     }
 
-    /// Writes what is not kept yet; tells whether all of it is.
+    /// Writes the requests that are not persisted yet; returns whether all of them are
+    /// now.
     async fn write_all(&self) -> bool {
         let to_keep = self.quarantine.book().to_keep();
         for stored in to_keep {
--- a/crates/server/src/gateway/knowledge.rs
+++ b/crates/server/src/gateway/knowledge.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of routes and backend servers.
+//! An instance's view of routes and backend servers.
 
 use std::{
     collections::{BTreeMap, HashSet},
@@ -27,25 +27,26 @@
 use super::{batch::Batch, settings::GatewaySettings};
 use crate::{clock::Clock, lock::lock};
 
-/// Servers of a service and availability zone that one instance uses: all, so
-/// that every instance finds the same home for a session.
+/// Servers of a service and availability zone that one instance uses: all, so that every
+/// instance finds the same home server for a session.
 const ALL_SERVERS: usize = 4_096;
-/// Most servers of a service that are left alone for failing, in per cent: with more,
-/// the fault is more likely on the way to them.
+/// Largest part of a service's servers that is ejected for failing, in per cent: with
+/// more, the fault is more likely on the network path to them.
 const EJECTED_PERCENT_MAX: u32 = 50;
 
-/// Time for servers to write themselves again after the store was away or came back from a
-/// copy, in ms: the 2 s of the platform, and a read, a question to the instance that reads
-/// and an answer of a slow store, until what one writes last in that time is known to all.
+/// Time for servers to write their entries again after the store was unavailable or was
+/// restored from a copy, in ms: the 2 s of the platform, and a read, a query to the
+/// reading instance and a response of a slow store, until the last entry written in that
+/// time is known to all.
 pub(super) const WRITTEN_AGAIN_WITHIN_MS: u64 = 3_200;
 
-/// What an instance knows of routes and backend servers.
+/// An instance's view of routes and backend servers.
 #[derive(Debug)]
 pub(super) struct Knowledge {
     pub(super) log: Logger,
     clock: Clock,
     table: ArcSwapOption<RouteTable>,
-    /// Latest version of the routes that another instance knows.
+    /// Latest version of the routes that another instance has advertised.
     told_version: AtomicU64,
     directory: Mutex<Directory>,
     evacuations: Mutex<Evacuations>,
@@ -54,11 +55,11 @@
     deadlines: Mutex<UsualDeadlines>,
     answer_times: Mutex<AnswerTimes>,
     fetch_times: Mutex<FetchTimes>,
-    /// Headers of servers' answers that were noted as unknown.
+    /// Unknown header names in servers' responses that have been logged.
     pub(super) unknown_headers: Mutex<HashSet<HeaderName>>,
-    /// Told after every change of routes or servers.
+    /// Notified after every change of routes or servers.
     changed: Notify,
-    /// Told after every change of a server's limit.
+    /// Notified after every change of a server's rate limit.
     limits_changed: Notify,
 }
 
@@ -103,7 +104,7 @@
         self.table.load_full()
     }
 
-    /// Returns the version of the routes, 0 before any is known.
+    /// Returns the version of the routes, 0 before any are known.
     pub(super) fn version(&self) -> u64 {
         self.table
             .load()
@@ -111,54 +112,55 @@
             .map_or(0, |table| table.version())
     }
 
-    /// Notes that another instance knows the version `version` of the routes.
+    /// Records that another instance has version `version` of the routes.
     pub(super) fn on_version_told(&self, version: u64) {
         self.told_version.fetch_max(version, Ordering::Relaxed);
     }
 
-    /// Tells whether another instance knows later routes.
+    /// Returns whether another instance has later routes.
     pub(super) fn is_behind(&self) -> bool {
         self.told_version.load(Ordering::Relaxed) > self.version()
     }
 
-    /// Locks the backend servers, for a few steps without waiting.
+    /// Locks the state of the backend servers. Must not be held across an await.
     pub(super) fn fleet(&self) -> MutexGuard<'_, Fleet> {
         lock(&self.fleet)
     }
 
-    /// Locks the register of servers, for a few steps without waiting.
+    /// Locks the register of servers. Must not be held across an await.
     pub(super) fn directory(&self) -> MutexGuard<'_, Directory> {
         lock(&self.directory)
     }
 
-    /// Returns how far it is known which availability zones are evacuated.
+    /// Returns the cursor of the known evacuations of availability zones.
     pub(super) fn evacuations_cursor(&self) -> Cursor {
         lock(&self.evacuations).cursor()
     }
 
-    /// Returns what is known of evacuations, for another instance.
+    /// Returns the known evacuations, for another instance.
     pub(super) fn evacuation_state(&self) -> EvacuationState {
         lock(&self.evacuations).state(self.clock.now_ms())
     }
 
-    /// Locks the budgets of repeats, for a few steps without waiting.
+    /// Locks the retry budgets. Must not be held across an await.
     pub(super) fn budgets(&self) -> MutexGuard<'_, RepeatBudgets> {
         lock(&self.budgets)
     }
 
-    /// Takes in the deadline of a request and returns how much longer callers of
-    /// its route usually give, in ms.
+    /// Records the deadline of a request and returns by how much it is shorter than the
+    /// usual deadline on its route, in ms.
     pub(super) fn missing_ms(&self, now_ms: u64, route: &str, deadline_ms: u64) -> u64 {
         let mut deadlines = lock(&self.deadlines);
         deadlines.missing_ms(now_ms, route, deadline_ms)
     }
 
-    /// Locks how long answers take, for a few steps without waiting.
+    /// Locks the response times of the routes. Must not be held across an await.
     pub(super) fn answer_times(&self) -> MutexGuard<'_, AnswerTimes> {
         lock(&self.answer_times)
     }
 
-    /// Locks how long engines need results, for a few steps without waiting.
+    /// Locks the times that engines need to fetch results. Must not be held across an
+    /// await.
     pub(super) fn fetch_times(&self) -> MutexGuard<'_, FetchTimes> {
         lock(&self.fetch_times)
     }
@@ -168,7 +170,7 @@
         self.changed.notified().await;
     }
 
-    /// Puts `config` in force, unless a later version is.
+    /// Applies `config`, unless a later version is in force.
     pub(super) fn apply_config(&self, config: RoutingConfig, source: &'static str) {
         let before = self.version();
         if config.version <= before && before > 0 {
@@ -182,7 +184,7 @@
         self.configure_fleet();
     }
 
-    /// Takes over what a read of the operator's records says of evacuations.
+    /// Applies a read of the operator's records to the evacuations.
     pub(super) fn apply_evacuations(&self, batch: &Batch) {
         let records = batch.records.iter().filter_map(|record| {
             let zone = store::evacuated_zone(&record.key)?;
@@ -204,7 +206,7 @@
         });
     }
 
-    /// Takes over what a peer knows of evacuations, if that is more.
+    /// Merges a peer's evacuations, if it knows more.
     pub(super) fn update_evacuations(&self, told: EvacuationState) {
         let now_ms = self.clock.now_ms();
         self.change_evacuations("peer", |evacuations| evacuations.update(now_ms, told));
@@ -217,7 +219,7 @@
             change(&mut evacuations);
             let after = evacuations.zones();
             if after != before {
-                // Under the lock, so that the register gets changes in their order.
+                // Under the lock, so that the register gets the changes in order.
                 self.directory().set_evacuated(after.clone());
             }
             (before, after, evacuations.cursor())
@@ -236,7 +238,7 @@
         metrics::counter!("savoryvane_evacuation_changes_total").increment(1);
         metrics::gauge!("savoryvane_evacuated_zones").set(after.len() as f64);
         self.configure_fleet();
-        // Servers may have become cold while nothing was sent to them.
+        // Servers that received no requests meanwhile may have become cold.
         self.for_cold_starts(|cold, now_ms, entry, cold_start| {
             if before.contains(&entry.zone) && !after.contains(&entry.zone) {
                 let left_ms = cold_start.duration_ms;
@@ -245,8 +247,8 @@
         });
     }
 
-    /// Takes over what the store says of servers and evacuations whose time to be written
-    /// again after an outage is over.
+    /// Removes the servers and evacuations that were not written again in time after an
+    /// outage.
     pub(super) fn settle(&self) {
         let now_ms = self.clock.now_ms();
         let lapsed = self.directory().remove_lapsed(now_ms);
@@ -260,7 +262,7 @@
         self.change_evacuations("copy", |evacuations| evacuations.settle(now_ms));
     }
 
-    /// Applies the records that a read of the register of servers gave.
+    /// Applies records read from the register of servers.
     pub(super) fn apply_servers(
         &self,
         records: Vec<(BackendName, Position, Option<ServerEntry>)>,
@@ -288,8 +290,9 @@
         }
     }
 
-    /// Takes over the first listing of the register after an outage of the store: servers
-    /// that it lacks are gone after a while unless they write themselves again.
+    /// Applies the first listing of the register after an outage of the store: servers
+    /// that it lacks are removed after `REWRITE_WINDOW_MS` unless they write themselves
+    /// again.
     pub(super) fn update_servers_after_outage(&self, listing: Vec<ServerEntry>, cursor: Cursor) {
         let count = listing.len();
         let now_ms = self.clock.now_ms();
@@ -306,14 +309,14 @@
         }
     }
 
-    /// Takes over from a peer which servers have lapsed.
+    /// Merges a peer's set of lapsing servers.
     pub(super) fn on_lapsing_told(&self, lapsing: &[LapsingServer]) {
         let now_ms = self.clock.now_ms();
         self.directory().on_lapsing(now_ms, lapsing);
     }
 
-    /// Takes over the register of servers from the store or a peer that knows it up
-    /// to `cursor`.
+    /// Applies the register of servers, from the store or from a peer that knows it up to
+    /// `cursor`.
     pub(super) fn update_servers(
         &self,
         update: DirectoryUpdate,
@@ -330,7 +333,7 @@
         let is_of_copy = cursor.is_of_copy_to(known);
         let has_changed = match update {
             DirectoryUpdate::Whole(listing) if is_of_copy => {
-                // Who has only read the copy says no more than that does.
+                // A peer that has only read the copy knows no more than the copy.
                 let gone_at_ms = now_ms + WRITTEN_AGAIN_WITHIN_MS;
                 directory.update_after_outage(listing, cursor.continued_from(known), gone_at_ms)
             }
@@ -345,8 +348,7 @@
         }
     }
 
-    /// Takes in what the answer to a request sent at `sent_at_ms` says of its server's
-    /// limit.
+    /// Applies the rate limit named in the response to a request sent at `sent_at_ms`.
     pub(super) fn on_limit(&self, server: &BackendName, sent_at_ms: u64, named: NamedLimit) {
         if named == NamedLimit::Unreadable {
             self.note_unreadable(server, "server-limit");
@@ -361,16 +363,16 @@
         }
     }
 
-    /// Takes over what another instance knows of servers' limits.
+    /// Merges another instance's reports of rate limits.
     pub(super) fn update_limits(&self, reports: Vec<LimitReport>) {
         let now_ms = self.clock.now_ms();
         let changes = self.fleet().limits().on_reports(now_ms, reports);
         self.note_limits(&changes);
     }
 
-    /// Takes over what another instance knows of servers' limits, which knows this one up
-    /// to `known_revision`; returns what it does not know, and up to which revision it does
-    /// with that.
+    /// Merges the rate limit reports of another instance, which knows this one's up to
+    /// `known_revision`. Returns the reports that it lacks, and the revision up to which
+    /// it has them all then.
     pub(super) fn exchange_limits(
         &self,
         known_revision: u64,
@@ -388,7 +390,7 @@
         (revision, unknown)
     }
 
-    /// Notes that no grant for `servers` is to be had for `retry_in_ms`.
+    /// Records that no grant for `servers` is available for `retry_in_ms`.
     pub(super) fn on_limits_closed(&self, servers: &[BackendName], retry_in_ms: u64) {
         let now_ms = self.clock.now_ms();
         let mut fleet = self.fleet();
@@ -417,7 +419,7 @@
         self.limits_changed.notified().await;
     }
 
-    /// Notes that a run of a server leaves or is gone.
+    /// Records that a run of a server is leaving or gone.
     pub(super) fn on_leaving(&self, id: &BackendName, source: &'static str) {
         if self.directory().on_leaving(id) {
             info!(self.log, "server changed"; "server" => %id, "state" => "leaving",
@@ -426,7 +428,8 @@
         }
     }
 
-    /// Looks at each server whose service bounds what it takes while it is cold.
+    /// Calls `visit` for each server whose service limits the request rate of cold
+    /// servers.
     fn for_cold_starts(&self, look: impl Fn(&mut ColdServers, u64, &ServerEntry, ColdStart)) {
         let Some(table) = self.table() else {
             return;
--- a/crates/server/src/gateway/limits.rs
+++ b/crates/server/src/gateway/limits.rs
@@ -43,7 +43,7 @@
     at: Instant,
 }
 
-/// Shares which servers name a limit.
+/// Shares the rate limits that servers name.
 #[derive(Debug)]
 pub(super) struct LimitSharing {
     log: Logger,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Returns the revision of what this instance knows.
+    /// Returns the revision of this instance's rate limit reports.
     pub(super) fn revision(&self) -> u64 {
         self.knowledge.fleet().limits().revision()
     }
@@ -110,7 +110,7 @@
             }
             Ok(_) => {}
             Err(err) => {
-                // Retried at the next look.
+                // Retried at the next follow-up.
                 info!(self.log, "limits not exchanged"; "with" => %scheduler, "error" => %err);
             }
         }
@@ -133,12 +133,12 @@
         (limits.revision(), limits.own_since(now_ms, revision))
     }
 
-    /// Takes over the list of instances.
+    /// Sets the list of instances.
     pub(super) fn set_listed(&self, instances: &[InstanceName]) {
         self.grants().set_listed(self.knowledge.now_ms(), instances);
     }
 
-    /// Notes a query of an instance.
+    /// Records a query of an instance, which shows that it is alive.
     pub(super) fn on_seen(&self, instance: &InstanceName) {
         self.grants().on_seen(self.knowledge.now_ms(), instance);
     }
--- a/crates/server/src/gateway/listing.rs
+++ b/crates/server/src/gateway/listing.rs
@@ -1,4 +1,4 @@
-//! The list of instances as the store has it.
+//! The list of instances as stored in the store.
 
 use std::collections::BTreeMap;
 
@@ -8,23 +8,23 @@
 };
 use savoryvane_wire::peer::ListedPeer;
 
-/// The instances that are listed, and how far the list is known.
+/// The listed instances, and up to which position the list is known.
 #[derive(Debug, Default)]
 pub(super) struct Listing {
     peers: BTreeMap<InstanceName, ListedPeer>,
-    /// Those that read the store where the one that schedules can't.
+    /// Instances that read the store when the scheduler cannot.
     reserves: Vec<InstanceName>,
-    /// How far the list is known.
+    /// Position up to which the list is known.
     cursor: Cursor,
 }
 
 impl Listing {
-    /// Returns how far the list is known.
+    /// Returns the position up to which the list is known.
     pub(super) fn cursor(&self) -> Cursor {
         self.cursor
     }
 
-    /// Tells whether the store has come back from a copy that lacks `instance`.
+    /// Returns whether the store was restored from a copy that lacks `instance`.
     pub(super) fn is_missing_in_copy(&self, instance: &InstanceName) -> bool {
         let listed = self.peer(instance);
         listed.is_some_and(|listed| listed.position.era < self.cursor.era)
@@ -40,13 +40,14 @@
         self.peers.get(instance)
     }
 
-    /// Returns those that read the store where the one that schedules can't.
+    /// Returns the instances that read the store when the scheduler cannot.
     pub(super) fn reserves(&self) -> &[InstanceName] {
         &self.reserves
     }
 
-    /// Takes over what is listed, after which the list is known up to `cursor`.
-    /// Instances stay listed when they are gone. Returns whether anything changed.
+    /// Merges listed instances, after which the list is known up to `cursor`. Instances
+    /// stay listed when they are gone. Returns whether any entry changed beside its
+    /// position.
     pub(super) fn update(&mut self, peers: Vec<ListedPeer>, cursor: Cursor) -> bool {
         let mut has_changed = false;
         for peer in peers {
--- a/crates/server/src/gateway/members.rs
+++ b/crates/server/src/gateway/members.rs
@@ -1,5 +1,5 @@
-//! The other instances: who they are, who schedules stages, and what they know
-//! while the store is away.
+//! The other instances: their addresses, which of them is the scheduler, and which to
+//! query for state while the store is unavailable.
 
 use std::{
     net::SocketAddr,
@@ -30,7 +30,7 @@
     peer::{PeerHandle, PeerId},
 };
 
-/// Peers that are asked at the same time for what they know.
+/// Number of peers that are queried for their state at the same time.
 const CATCH_UP_PEERS: usize = 2;
 
 /// The other instances, as this one knows them.
@@ -45,12 +45,12 @@
     knowledge: Arc<Knowledge>,
     limits: Arc<LimitSharing>,
     listed: Mutex<Listing>,
-    /// Era of the store in which this instance has written itself again.
+    /// Store era in which this instance has written its entry again.
     listed_again_in: AtomicU64,
     choice: Mutex<SchedulerChoice>,
-    /// When another instance was chosen to schedule, and which one.
+    /// When another instance replaced this one as the scheduler, and which one.
     pub(super) replaced: Mutex<Option<(Instant, InstanceName)>>,
-    /// Told when more is known of which instances are reached.
+    /// Notified when the reachability of an instance is updated.
     pub(super) heard: watch::Sender<()>,
 }
 
@@ -91,31 +91,31 @@
         &self.peers
     }
 
-    /// Returns the instance that schedules for this one, once that is known.
+    /// Returns the scheduler of this instance, once it is known.
     pub(super) fn scheduler(&self) -> Option<InstanceName> {
         self.choice().settled(self.clock.now_ms()).cloned()
     }
 
-    /// Returns what this instance has to do with the store.
+    /// Returns this instance's role in reading the store.
     pub(super) fn reader(&self) -> Reader {
         let scheduler = self.scheduler();
         let listed = self.listed();
         Reader::of(&self.me, scheduler.as_ref(), listed.reserves())
     }
 
-    /// Tells whether `instance` is this one.
+    /// Returns whether `instance` is this one.
     pub(super) fn is_me(&self, instance: &InstanceName) -> bool {
         *instance == self.me
     }
 
-    /// Writes this instance into the list in the store.
+    /// Writes this instance's entry into the list in the store.
     pub(super) async fn write_self(&self, store: &StoreClient) -> super::store::Result<()> {
         store
             .write_instance(self.me.as_str(), &self.own_record)
             .await
     }
 
-    /// Takes over what was read of the list.
+    /// Applies a read of the list.
     pub(super) fn apply(&self, batch: Batch) {
         let mut peers = Vec::with_capacity(batch.records.len());
         for record in &batch.records {
@@ -138,7 +138,7 @@
         self.adopt(peers, cursor);
     }
 
-    /// Takes over what the store or a peer lists that knows the list up to `cursor`.
+    /// Merges entries from the store or from a peer that knows the list up to `cursor`.
     pub(super) fn adopt(&self, peers: Vec<ListedPeer>, cursor: Cursor) {
         let has_changed = self.listed().update(peers, cursor);
         if has_changed {
@@ -146,27 +146,28 @@
         }
     }
 
-    /// Returns how far the list is known.
+    /// Returns the position up to which the list is known.
     pub(super) fn list_cursor(&self) -> Cursor {
         self.listed().cursor()
     }
 
-    /// Tells whether the store has come back from a copy that lacks this instance, which
-    /// has not written itself again yet.
+    /// Returns whether the store was restored from a copy that lacks this instance, and
+    /// this instance has not written its entry again yet.
     pub(super) fn is_missing_in_copy(&self) -> bool {
         let listed = self.listed();
         let written_in = self.listed_again_in.load(Ordering::Relaxed);
         written_in < listed.cursor().era && listed.is_missing_in_copy(&self.me)
     }
 
-    /// Notes that this instance has written itself again.
+    /// Records that this instance has written its entry again.
     pub(super) fn on_listed_again(&self) {
         let era = self.list_cursor().era;
         self.listed_again_in.fetch_max(era, Ordering::Relaxed);
     }
 
-    /// Tells whether the list, as it was read, says of this instance what it is. Its run
-    /// does not matter to others, so that one that starts again need not write.
+    /// Returns whether this instance's entry in the list, as read, is correct. The
+    /// entry's incarnation does not matter to others, so an instance that restarts need
+    /// not write again.
     pub(super) fn is_listed_as_it_is(&self, batch: &Batch) -> bool {
         let mut records = batch.records.iter().rev();
         let own = records.find(|record| record.key == self.me.as_str());
@@ -178,8 +179,7 @@
         })
     }
 
-    /// Returns the instances whose entries one does not know that knows the list up to
-    /// `known`.
+    /// Returns the entries that are new to a peer that knows the list up to `known`.
     pub(super) fn listed_from(&self, known: Cursor) -> Vec<ListedPeer> {
         let listed = self.listed();
         let from = known.position();
@@ -204,7 +204,8 @@
         });
         let mut candidates: Vec<Candidate> = candidates.collect();
         if listed.peer(&self.me).is_none() {
-            // One that could not write itself yet and reaches nobody schedules for itself.
+            // An instance that could not write its entry yet and reaches no other is its
+            // own scheduler.
             candidates.push(Candidate {
                 instance: self.me.clone(),
                 cores: self.own_record.cores,
@@ -223,8 +224,8 @@
 }
 
 impl Members {
-    /// Chooses instances to ask for what they know: reserves, or the first contacts of
-    /// the settings while no instance is listed.
+    /// Chooses instances to query for their state: reserves, or the seeds from the
+    /// settings while no instance is listed.
     pub(super) fn contacts(&self) -> Vec<Contact> {
         let listed = self.listed();
         let reserves = listed.reserves().iter().filter(|name| **name != self.me);
@@ -257,7 +258,7 @@
     }
 }
 
-/// Returns who this instance is to its peers.
+/// Returns the identity of this instance towards its peers.
 pub(super) fn peer_id(settings: &GatewaySettings, incarnation: Incarnation) -> PeerId {
     PeerId {
         instance: settings.instance.clone(),
--- a/crates/server/src/gateway/peering.rs
+++ b/crates/server/src/gateway/peering.rs
@@ -1,4 +1,4 @@
-//! Which part of a forwarding instance takes which message of a peer.
+//! Routes messages from peers to the components of a gateway instance.
 
 use std::{future, sync::Arc, time::Duration};
 
@@ -15,11 +15,12 @@
     phase::{Phase, Phases},
 };
 
-/// Time for which one that starts counts as one that schedules: it knows routes and
-/// servers some ms after it can be reached, and others need not look for another one.
+/// Time for which a starting instance accepts stages of others: it knows routes and
+/// servers some ms after it becomes reachable, and the others need not choose another
+/// scheduler.
 const STARTING: Duration = Duration::from_millis(1_000);
 
-/// Hands messages of peers to the parts that they are for.
+/// Routes messages from peers to the components that handle them.
 pub(super) struct Peering {
     pub(super) started: Instant,
     pub(super) members: Arc<Members>,
@@ -31,7 +32,7 @@
 }
 
 impl Peering {
-    /// Tells whether this instance schedules for others, or will in a moment.
+    /// Returns whether this instance schedules for others, or will in a moment.
     fn is_taking(&self) -> bool {
         match self.phases.current() {
             Phase::Starting => self.started.elapsed() < STARTING,
--- a/crates/server/src/gateway/quarantine.rs
+++ b/crates/server/src/gateway/quarantine.rs
@@ -1,9 +1,10 @@
-//! Shares with the other instances which requests end backend servers, and lets one copy
-//! of a suspect run at a time.
+//! Shares with the other instances which requests crash backend servers, and lets one
+//! copy of a suspect run at a time.
 //!
-//! The instance that schedules has the book that counts and gives out permits. Others
-//! tell it at once what they see, ask it for what is new every half second, and for a
-//! permit before they send a suspect. Who reaches nobody goes by its own book.
+//! The scheduler has the authoritative crash tracker and grants permits. The other
+//! instances report crashes to it at once, query it for updates every half second, and
+//! request a permit before they send a suspect. An instance that reaches no scheduler
+//! uses its own tracker.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard},
@@ -29,17 +30,17 @@
 use super::members::Members;
 use crate::{clock::Clock, lock::lock, suspects::CountedBy};
 
-/// Time between two questions for what is new. Only the first copies of a request can be
-/// sent by those that do not know of it yet; later ones need a permit.
+/// Interval between two queries for updates. Only the first copies of a request can be
+/// sent by instances that do not know of its crashes yet; later ones need a permit.
 const FOLLOW_INTERVAL: Duration = Duration::from_millis(500);
-/// Time for a question to be answered: a way there and back takes a few ms.
+/// Timeout of a query: a round trip takes a few ms.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time on top of a request's own after which its permit lapses.
+/// Margin added to the time left for a request, after which its permit expires.
 const LEASE_SPARE: Duration = Duration::from_millis(500);
-/// Ends that are kept to be told while nobody is reached who takes them.
+/// Maximum number of crash reports that are kept while no scheduler is reachable.
 const MOST_UNREPORTED: usize = 1_024;
 
-/// Which requests end servers, as far as this instance knows.
+/// The requests that crash servers, as far as this instance knows.
 #[derive(Debug)]
 pub(super) struct Quarantine {
     log: Logger,
@@ -48,28 +49,29 @@
     members: Arc<Members>,
     book: Mutex<CrashTracker>,
     permits: Mutex<Permits>,
-    /// How far the book of the instance that schedules is known, and since when.
+    /// Run of the scheduler whose tracker was merged last, its revision, and when that
+    /// was.
     source: Mutex<Option<(KnownCrashes, Instant)>>,
-    /// What this instance saw and has not told.
+    /// Crashes that this instance detected and has not reported.
     unreported: Mutex<Vec<CrashReport>>,
-    /// Whether what others knew before this instance started is known.
+    /// Whether the crashes known to others before this instance started are loaded.
     is_loaded: watch::Sender<bool>,
-    /// Told after every change of the book.
+    /// Notified after every change of the tracker.
     pub(super) changed: Notify,
 }
 
-/// Right to run one copy of a suspect; given back when dropped.
+/// Permit to run one copy of a suspect; returned when dropped.
 #[derive(Debug)]
 pub(super) struct HeldPermit {
     quarantine: Arc<Quarantine>,
-    /// Instance that gave it, unless it is this one.
+    /// Instance that granted it; `None` if this one did.
     giver: Option<InstanceName>,
     digest: RequestDigest,
     permit: Permit,
 }
 
 impl HeldPermit {
-    /// Returns its place among requests that go apart, where it is one.
+    /// Returns its place among the requests that run on separate servers, if it has one.
     pub(super) fn place(&self) -> Option<u32> {
         self.permit.place
     }
@@ -87,7 +89,7 @@
             let peers = quarantine.members.peers();
             let told = peers.request(&giver, None, &message, ANSWER_TIMEOUT).await;
             if let Err(err) = told {
-                // It lapses by itself.
+                // The permit expires by itself.
                 info!(quarantine.log, "permit not given back"; "digest" => %digest,
                     "to" => %giver, "error" => %err);
             }
@@ -95,14 +97,14 @@
     }
 }
 
-/// What came of asking for a permit.
+/// Outcome of a request for a permit.
 #[derive(Debug)]
 pub(super) enum Asked {
     /// The request may be sent.
     Granted(HeldPermit),
-    /// Another copy runs; its permit lapses after this time.
+    /// Another copy is running; its permit expires after this time.
     Out(Duration),
-    /// The request is quarantined; who has counted.
+    /// The request is quarantined; with the instance whose count decided that.
     Quarantined(CountedBy),
 }
 
@@ -128,13 +130,13 @@
         }
     }
 
-    /// Tells where a request stands.
+    /// Returns the quarantine status of a request.
     pub(super) fn standing(&self, digest: &RequestDigest) -> Standing {
         self.book().standing(self.clock.now_ms(), digest)
     }
 
-    /// Returns how many servers have ended under a request; fewer than are too many for
-    /// one that is not quarantined.
+    /// Returns the number of servers that crashed under a request; capped below the
+    /// quarantine threshold unless the request is quarantined.
     pub(super) fn ends(&self, digest: &RequestDigest) -> u32 {
         match self.standing(digest) {
             Standing::Suspect { ends } => ends.min(CRASHES_TO_QUARANTINE - 1),
@@ -142,8 +144,8 @@
         }
     }
 
-    /// Notes a server that ended under a request. Returns how many have, 0 where the
-    /// request was answered lately and is not to blame.
+    /// Records that a server crashed under a request. Returns the request's crash count,
+    /// 0 if the request was answered recently and is not to blame.
     pub(super) fn on_end(&self, record: CrashReport) -> u32 {
         let now_ms = self.clock.now_ms();
         let digest = record.digest;
@@ -156,7 +158,8 @@
         self.ends(&digest)
     }
 
-    /// Notes a whole answer of a server to a request, which speaks for it.
+    /// Records a complete response of a server to a request, which clears it of
+    /// suspicion.
     pub(super) fn on_answered(self: &Arc<Self>, digest: RequestDigest) {
         let now_ms = self.clock.now_ms();
         let was_suspect = self.book().on_answered(now_ms, digest);
@@ -166,7 +169,7 @@
         }
     }
 
-    /// Notes that a server runs on that had been taken for ended.
+    /// Records that a server is running that was judged crashed.
     pub(super) fn on_running(self: &Arc<Self>, digest: RequestDigest, server: &BackendName) {
         let was_ended = self.book().on_running(digest, server);
         if was_ended {
@@ -191,7 +194,7 @@
         unreported.drain(..excess);
     }
 
-    /// Asks for the permit to send a suspect.
+    /// Requests a permit to send a suspect.
     pub(super) async fn ask(self: &Arc<Self>, digest: RequestDigest, left: Duration) -> Asked {
         let lease_ms = (left + LEASE_SPARE).as_millis() as u64;
         let scheduler = self.members.scheduler();
@@ -235,7 +238,8 @@
             Ok(Message::PermitState(state)) => Some(state),
             Ok(_) => None,
             Err(err) => {
-                // A zone that is cut off serves what it can.
+                // Without the scheduler, this instance decides itself: a zone that is cut
+                // off still serves what it can.
                 info!(self.log, "permit not asked"; "digest" => %digest, "of" => %scheduler,
                     "error" => %err);
                 None
@@ -243,30 +247,30 @@
         }
     }
 
-    /// Answers the question for a permit by what this instance knows.
+    /// Decides on a permit by this instance's own tracker.
     pub(super) fn grant(&self, question: PermitQuery) -> PermitState {
         let PermitQuery { digest, lease_ms } = question;
         let now_ms = self.clock.now_ms();
         self.permits().grant(now_ms, &self.book(), digest, lease_ms)
     }
 
-    /// Takes a permit back that this instance gave out.
+    /// Takes back a permit that this instance granted.
     pub(super) fn on_returned(&self, returned: PermitReturn) {
         self.permits().give_back(&returned.digest, returned.permit);
     }
 
-    /// Tells the instance that schedules what this one saw and has not told.
+    /// Reports the crashes that this instance detected to the scheduler.
     pub(super) async fn report(&self) {
         let scheduler = self.members.scheduler();
         match scheduler.filter(|name| !self.members.is_me(name)) {
             Some(scheduler) => self.exchange(&scheduler, None).await,
-            // Its own book counts.
+            // This instance is the scheduler or knows none; its own tracker counts.
             None => self.unreported().clear(),
         }
     }
 
-    /// Asks the run `incarnation` of the instance that schedules for what is new, where
-    /// it is time.
+    /// Queries the run `incarnation` of the scheduler for updates, unless the last query
+    /// is recent and there is nothing to report.
     pub(super) async fn follow(&self, scheduler: &InstanceName, incarnation: Incarnation) {
         let source = *self.source();
         let is_known = source.is_some_and(|(known, at)| {
@@ -277,8 +281,8 @@
         }
     }
 
-    /// Tells an instance what this one saw, all of it if the instance was not told
-    /// before, and takes over what it knows.
+    /// Sends an instance the crashes that this one detected, all of them if it is a new
+    /// run, and merges its reports.
     async fn exchange(&self, scheduler: &InstanceName, incarnation: Option<Incarnation>) {
         let source = self.source().map(|(known, _)| known);
         let known = match incarnation {
@@ -312,8 +316,8 @@
         }
     }
 
-    /// Takes over what a peer tells, and tells it what it does not know; none before
-    /// this instance knows what was known before its start.
+    /// Merges a peer's crash reports, and returns those that it lacks; `None` before the
+    /// crashes known before this instance's start are loaded.
     pub(super) fn on_query(&self, question: CrashQuery) -> Option<CrashState> {
         self.on_told(question.records, "peer");
         if !*self.is_loaded.borrow() {
@@ -345,13 +349,13 @@
         }
     }
 
-    /// Notes that what others knew before this instance started is known.
+    /// Records that the crashes known before this instance's start are loaded.
     pub(super) fn on_loaded(&self) {
         self.is_loaded
             .send_if_modified(|is_loaded| !std::mem::replace(is_loaded, true));
     }
 
-    /// Waits until that is known, for `longest` at most; tells whether it is.
+    /// Waits up to `timeout` until those crashes are loaded; returns whether they are.
     pub(super) async fn loaded(&self, longest: Duration) -> bool {
         if *self.is_loaded.borrow() {
             return true;
@@ -361,7 +365,7 @@
         time::timeout(longest, loaded).await.is_ok()
     }
 
-    /// Locks what is known of requests, for a few steps without waiting.
+    /// Locks the crash tracker. Must not be held across an await.
     pub(super) fn book(&self) -> MutexGuard<'_, CrashTracker> {
         lock(&self.book)
     }
--- a/crates/server/src/gateway/register.rs
+++ b/crates/server/src/gateway/register.rs
@@ -19,17 +19,18 @@
     knowledge::Knowledge,
 };
 
-/// Time between two reads of the register of servers. Where heartbeats add records a
-/// waiting read would be answered at once all the time; a leaving server has to be left
-/// alone after 2 s or more.
+/// Interval between two reads of the register of servers. Heartbeats add records all the
+/// time, so a read that waits for one would return at once; a leaving server has to be
+/// avoided within 2 s or more, as the settings say.
 const INTERVAL: Duration = Duration::from_millis(800);
-/// Age of what is known from which the whole register is read, in ms: with a record a
-/// second of each server the records since then are as many as the servers. Entries lapse
-/// after three heartbeats that the store did not take, which takes longer.
+/// Age of the known register from which all of it is read, in ms: with one record a
+/// second from each server, the records since then are as many as the servers. Entries
+/// lapse after three heartbeats that the store did not accept, which takes longer.
 const WHOLE_FROM_MS: u64 = 2_000;
-/// Time between two looks for servers that have not written themselves again in time.
+/// Interval between two checks for servers that have not written their entries again in
+/// time.
 const SETTLE_INTERVAL: Duration = Duration::from_millis(100);
-/// Most entries that can't be read whose log lines are remembered.
+/// Maximum number of unreadable entries whose log lines are remembered.
 const MOST_UNREADABLE: usize = 1_024;
 
 /// Follows the register of servers.
@@ -56,7 +57,8 @@
         let Ok(batch) = read else {
             continue;
         };
-        // Whether entries may have lapsed is told by what was known before this read.
+        // Entries may have lapsed during an outage; that is judged by the state before
+        // this read.
         let had_outage = follower
             .freshness
             .had_outage(follower.store.failed_ago_ms());
@@ -67,8 +69,8 @@
     }
 }
 
-/// Takes over what the store says once the time is over in which what it has lost is
-/// written again.
+/// Periodically removes servers and evacuations that were not written again in time after
+/// the store lost them.
 pub(super) async fn settle(knowledge: Arc<Knowledge>) {
     loop {
         time::sleep(SETTLE_INTERVAL).await;
@@ -76,7 +78,7 @@
     }
 }
 
-/// Takes over what was read.
+/// Applies a read of the register.
 fn apply(follower: &StoreFollower, unreadable: &mut Unreadable, batch: Batch, had_outage: bool) {
     let knowledge = &follower.knowledge;
     let records = batch.records.iter();
@@ -102,12 +104,12 @@
     }
 }
 
-/// Entries of the register that can't be read: they were not written by a server, and
-/// name none. A server whose own entry turns unreadable is taken for gone, since
-/// nothing says any more that it takes work.
+/// Unreadable entries of the register: no server wrote them, and they define none. A
+/// server whose own entry becomes unreadable counts as gone, since nothing says any more
+/// that it accepts requests.
 struct Unreadable {
     log: Logger,
-    /// What was wrong with each, which is logged once.
+    /// Last error of each entry; a repeated error is not logged again.
     known: HashMap<String, String>,
 }
 
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Decodes what a server says of itself.
+    /// Decodes a server's entry.
     fn entry(&mut self, record: &Record, position: Position) -> Option<ServerEntry> {
         let value = record.value.as_ref()?;
         match servers::decode(&record.key, position, value) {
--- a/crates/server/src/gateway/relay.rs
+++ b/crates/server/src/gateway/relay.rs
@@ -1,9 +1,9 @@
-//! Passes a stream of events on as it comes.
+//! Forwards an event stream as it arrives.
 //!
-//! A stream that may go on elsewhere is passed on event by event: what a server
-//! broke off in the middle of one is dropped, and the next server goes on after
-//! the last whole event. Any other stream that breaks off ends the caller's
-//! connection, so that it can't be taken for a whole one.
+//! A resumable stream is forwarded event by event: an event that a server broke off is
+//! dropped, and the next server resumes after the last complete one. If any other stream
+//! breaks off, the caller's connection is aborted, so that the stream can't be mistaken
+//! for a complete one.
 
 use std::{
     io,
@@ -33,12 +33,12 @@
 };
 use crate::{connections::Lease, http_body::Body};
 
-/// Frames that wait for a slow caller.
+/// Number of frames that are buffered for a slow caller.
 const WAITING_FRAMES: usize = 16;
-/// Most bytes of one event that are gathered.
+/// Largest event that is buffered, in bytes.
 const MOST_EVENT_BYTES: usize = 1 << 20;
 
-/// Starts to pass a stream on, and returns the answer that carries it.
+/// Starts to forward a stream, and returns the response that carries it.
 pub(super) fn start(
     forwarder: Arc<Forwarder>,
     caller: CallerRequest,
@@ -72,7 +72,7 @@
     Response::from_parts(parts, Frames(frames).boxed_unsync())
 }
 
-/// Body of the answer: frames as the relay passes them.
+/// Response body with the frames that the relay sends.
 struct Frames(mpsc::Receiver<Result<Bytes, io::Error>>);
 
 impl hyper::body::Body for Frames {
@@ -89,7 +89,7 @@
     }
 }
 
-/// Where events come from.
+/// The server connection that events are read from.
 struct Source {
     body: Incoming,
     lease: Option<Lease>,
@@ -102,7 +102,7 @@
     caller: CallerRequest,
     inputs: Inputs,
     tried: Vec<BackendName>,
-    /// Right to run it, where servers have ended under it.
+    /// Permit to run the request, if servers have crashed under it.
     permit: Option<HeldPermit>,
     events: Events,
     pace: Pace,
@@ -110,7 +110,7 @@
     source: Source,
 }
 
-/// When events came, for the log.
+/// Arrival times of events, for the log.
 #[derive(Clone, Copy, Debug, Default)]
 struct Pace {
     first_event_ms: Option<u64>,
@@ -119,7 +119,7 @@
 }
 
 impl Pace {
-    /// Notes events that came `elapsed_ms` after the request.
+    /// Records events that arrived `elapsed_ms` after the request.
     fn on_events(&mut self, elapsed_ms: u64) {
         let now = Instant::now();
         self.first_event_ms.get_or_insert(elapsed_ms);
@@ -130,20 +130,20 @@
     }
 }
 
-/// Why a stream does not go on.
+/// Why a stream is no longer forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stop {
-    /// It is whole.
+    /// It is complete.
     Whole,
-    /// Its caller has gone.
+    /// The caller disconnected.
     CallerGone,
-    /// Its time is over.
+    /// The deadline has passed.
     Overdue,
-    /// This instance ends.
+    /// This instance is exiting.
     Leaving,
-    /// It broke off.
+    /// The server connection broke.
     Broken,
-    /// It paused for long, and a repeat was taken out of the budget.
+    /// The server paused too long, and a retry was taken from the budget.
     Silent,
 }
 
@@ -187,13 +187,13 @@
             Stop::CallerGone => {}
             Stop::Overdue | Stop::Leaving | Stop::Broken | Stop::Silent => {
                 let broken = io::Error::new(io::ErrorKind::ConnectionAborted, "stream broke off");
-                // The caller may have gone meanwhile.
+                // The caller may have disconnected meanwhile.
                 let _ = self.sender.send(Err(broken)).await;
             }
         }
     }
 
-    /// Passes events on until they end.
+    /// Forwards events until the stream stops.
     async fn pass_on(&mut self) -> Stop {
         let silence = Duration::from_millis(event_timeout_ms());
         let mut is_waited_for = true;
@@ -236,7 +236,7 @@
                         .map_or(Stop::CallerGone, |()| Stop::Whole);
                 }
             };
-            // The engine has read its inputs once it answers with events.
+            // An engine that responds with events has read its inputs.
             self.inputs.held = None;
             let whole = self.events.push(bytes);
             if !whole.is_empty() {
@@ -261,8 +261,8 @@
         }
     }
 
-    /// Tells whether another server may go on; it takes a repeat out of the
-    /// budget.
+    /// Returns whether another server may resume the stream, and takes a retry from the
+    /// budget if so.
     fn may_go_on(&self) -> bool {
         let caller = &self.caller;
         caller.is_resumable()
@@ -272,8 +272,8 @@
                 .may_repeat_elsewhere(caller, &self.inputs, &self.tried)
     }
 
-    /// Closes the connection to a server that has paused for long, which ends its
-    /// run.
+    /// Closes the connection to a server that has paused too long, which makes the server
+    /// cancel the request.
     fn leave_silent(&mut self, waited: Duration) {
         self.source.lease = None;
         if let Some(server) = self.source.server.take() {
@@ -283,7 +283,7 @@
         }
     }
 
-    /// Has another server go on after the last whole event.
+    /// Resumes the stream at another server after the last complete event.
     async fn go_on(&mut self) -> bool {
         self.source.lease = None;
         let caller = &self.caller;
@@ -294,7 +294,7 @@
             .await
             .is_err()
         {
-            // It has said why.
+            // The reason has been logged.
             return false;
         }
         if self.inputs.are_gone() {
@@ -331,9 +331,9 @@
     }
 }
 
-/// Takes a stream apart into events where that matters.
+/// Splits a stream into events if it is resumable.
 struct Events {
-    /// Whether only whole events are passed on.
+    /// Whether only complete events are forwarded.
     are_gathered: bool,
     buffer: BytesMut,
     count: u64,
@@ -350,7 +350,7 @@
         }
     }
 
-    /// Adds bytes, and returns what can be passed on.
+    /// Adds bytes, and returns those that can be forwarded.
     fn push(&mut self, bytes: Bytes) -> Bytes {
         if !self.are_gathered {
             self.count += 1;
@@ -375,7 +375,7 @@
         whole
     }
 
-    /// Returns what is left when the stream has ended well.
+    /// Returns the remaining bytes after the end of the stream.
     fn take_rest(&mut self) -> Bytes {
         self.buffer.split().freeze()
     }
@@ -385,7 +385,7 @@
     }
 }
 
-/// Returns the end of the last whole event.
+/// Returns the end of the last complete event.
 fn last_end(buffer: &[u8]) -> Option<usize> {
     let double = buffer.windows(2).rposition(|pair| pair == b"\n\n");
     let crossed = buffer.windows(4).rposition(|four| four == b"\r\n\r\n");
--- a/crates/server/src/gateway/request.rs
+++ b/crates/server/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! One request of a caller on its way through the instance.
+//! A caller's request while it is being processed.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A request as its caller sent it, and what it was matched with.
+/// A request as its caller sent it, with the route that it matched.
 #[derive(Debug)]
 pub(super) struct CallerRequest {
     pub(super) id: RequestId,
@@ -23,13 +23,13 @@
     pub(super) path: PathAndQuery,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
-    /// What it asks for, under whichever identifier.
+    /// Digest of its content, without the identifier.
     pub(super) digest: RequestDigest,
     pub(super) matched: Matched,
-    /// Service that it goes to.
+    /// Service that it is sent to.
     pub(super) service: PoolName,
     pub(super) arrived: Instant,
-    /// Time at which it has its final answer.
+    /// Time by which it gets its final response.
     pub(super) deadline: Instant,
 }
 
@@ -38,7 +38,7 @@
         &self.matched.route
     }
 
-    /// Tells whether it may be sent again after it may have run.
+    /// Returns whether it may be sent again after it may have run.
     pub(super) fn repeats(&self) -> Repeats {
         if self.route().is_repeatable() {
             Repeats::Allowed
@@ -47,12 +47,12 @@
         }
     }
 
-    /// Tells whether its stream may go on at another server.
+    /// Returns whether its stream may be resumed at another server.
     pub(super) fn is_resumable(&self) -> bool {
         self.route().kind == RouteKind::Stream && self.route().is_resumable
     }
 
-    /// Returns its prompt, where its route has some.
+    /// Returns its prompt, if its route uses prompts.
     pub(super) fn prompt(&self) -> Option<&Prompt> {
         let has_prompts = self.route().has_prompts;
         self.head.prompt.as_ref().filter(|_| has_prompts)
@@ -88,8 +88,8 @@
     }
 }
 
-/// Chooses the service of a request among those that share its route: always
-/// the same one for a session, so that its prompts stay cached.
+/// Chooses the service of a request by weight among the targets of its route: always the
+/// same one for a session, so that its prompts stay cached.
 pub(super) fn service(route: &Route, head: &RequestHead) -> Option<PoolName> {
     let total: u64 = route.targets.iter().map(|t| u64::from(t.weight)).sum();
     let session = head.prompt.as_ref().and_then(Prompt::session);
@@ -106,7 +106,7 @@
     route.targets.first().map(|target| target.service.clone())
 }
 
-/// Returns the host that a request names.
+/// Returns the host that a request is addressed to.
 pub(super) fn host<B>(request: &Request<B>) -> &str {
     let header = request.headers().get(header::HOST);
     request
--- a/crates/server/src/gateway/scheduling.rs
+++ b/crates/server/src/gateway/scheduling.rs
@@ -1,4 +1,4 @@
-//! Finds the instance that schedules, and hands over to it.
+//! Determines which instance is the scheduler, and hands over to it.
 
 use std::{
     sync::{Arc, MutexGuard},
@@ -20,25 +20,26 @@
     phase::{Phase, Phases},
 };
 
-/// Time between two questions to the instance that schedules: with two misses
-/// it is given up within a second.
+/// Interval between two queries to the scheduler: two misses mark it as lost within a
+/// second.
 const ASK_INTERVAL: Duration = Duration::from_millis(250);
-/// The same while it is not known which one schedules: requests wait for that.
+/// Interval while the scheduler is unknown: requests wait for it.
 const LOOKING_INTERVAL: Duration = Duration::from_millis(50);
-/// Time for such a question to be answered.
+/// Timeout of these queries.
 const ASK_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time that a request waits until it is known which instance schedules: twice what
-/// it takes where all start at once. Nobody is reached then, and an instance that is
-/// alone schedules for itself.
+/// Longest time that a request waits for the scheduler to be known: twice as long as it
+/// takes when all instances start at once. If that is exceeded, no other instance is
+/// reachable, and an isolated instance is its own scheduler.
 const SETTLE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Time for which one that was replaced sends on what comes to it: the others look every
-/// 250 ms. What it scheduled beside the next one found servers busy, its inputs gone, and
-/// was made up to four times.
+/// Time for which a replaced scheduler redirects what is submitted to it: the other
+/// instances look for the scheduler every 250 ms. Stages that it scheduled in parallel
+/// with its successor found servers busy and their inputs gone, and were run up to four
+/// times.
 const REPLACED_FOR: Duration = Duration::from_millis(1_000);
 
 impl Members {
-    /// Waits until it is known which instance schedules, for `longest` at most, and
-    /// returns the one that seems to.
+    /// Waits until the scheduler is known, for `timeout` at most, and returns the current
+    /// choice.
     pub(super) async fn settled(&self, longest: Duration) -> Option<InstanceName> {
         let until = Instant::now() + longest.min(SETTLE_TIMEOUT);
         let mut heard = self.heard.subscribe();
@@ -55,15 +56,15 @@
         }
     }
 
-    /// Notes that the instance that schedules could not be reached or gave no
-    /// answer, so that another one is asked.
+    /// Records that the scheduler was unreachable or gave no response, so that another
+    /// instance is chosen.
     pub(super) fn on_scheduler_lost(&self, instance: &InstanceName, err: &PeerError) {
         warn!(self.log, "scheduler lost"; "scheduler" => %instance, "error" => %err);
         self.choice().on_unreachable(self.clock.now_ms(), instance);
         self.heard.send_replace(());
     }
 
-    /// Waits until `instance` is found not to be reached.
+    /// Waits until `instance` is found unreachable.
     pub(super) async fn lost(&self, instance: &InstanceName) {
         let mut heard = self.heard.subscribe();
         while !self.choice().is_away(instance) {
@@ -72,18 +73,18 @@
         }
     }
 
-    /// Notes that the instance that scheduled names another one, which it
-    /// reaches; whether this one does shows when it is asked.
+    /// Records that the former scheduler has named its successor, which it can reach;
+    /// whether this instance can is found out by its next query.
     pub(super) fn on_scheduler_told(&self, instance: &InstanceName) {
         self.choice().on_answer(instance);
     }
 
-    /// Notes that an instance does not schedule for others.
+    /// Records that an instance does not schedule for others.
     pub(super) fn on_scheduler_declined(&self, instance: &InstanceName) {
         self.choice().on_declined(self.clock.now_ms(), instance);
     }
 
-    /// Answers the question of whether this instance schedules.
+    /// Updates the choice by whether this instance itself can schedule.
     fn ask_self(&self, phases: &Phases) {
         if phases.is_leaving() {
             self.on_scheduler_declined(&self.me);
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Hands over what this instance schedules to the one that does now: also what it
-    /// began while it did not know of that one.
+    /// Reacts to a change of the scheduler: if it is another instance, hands over all
+    /// stages scheduled here, including those begun before that scheduler was known.
     fn on_chosen(
         &self,
         before: Option<&InstanceName>,
@@ -109,9 +110,9 @@
         }
     }
 
-    /// Returns the instance that has begun to schedule instead of this one a moment ago:
-    /// what others still send here is sent on. Later they have a reason to, since they
-    /// do not reach that one.
+    /// Returns the instance that recently replaced this one as the scheduler; submissions
+    /// of others are redirected to it. A later submission has a reason to come here: its
+    /// sender does not reach that instance.
     pub(super) fn replaced_by(&self) -> Option<InstanceName> {
         let replaced = self.replaced();
         let (since, other) = replaced.as_ref()?;
@@ -123,7 +124,7 @@
     }
 }
 
-/// Watches which instance schedules, and follows what it knows.
+/// Tracks which instance is the scheduler, and copies its state.
 pub(super) struct SchedulerWatch {
     pub(super) members: Arc<Members>,
     pub(super) catch_up: Arc<CatchUp>,
@@ -135,8 +136,8 @@
 }
 
 impl SchedulerWatch {
-    /// Asks the instance that schedules, and those that went before it, whether they are
-    /// there.
+    /// Queries the scheduler, and the instances that rank before it, whether they
+    /// schedule.
     pub(super) async fn run(self: Arc<Self>) {
         let (members, phases) = (&self.members, &self.phases);
         let mut heard = members.heard.subscribe();
@@ -160,12 +161,12 @@
                     tokio::spawn(Arc::clone(&self).ask(instance));
                 }
             }
-            // What is heard meanwhile may tell which one schedules.
+            // Responses that arrive meanwhile may determine the scheduler.
             loop {
                 let now = members.scheduler();
                 if now != current {
                     members.on_chosen(current.as_ref(), now.as_ref(), &self.dispatch);
-                    // What is kept is read at once by who schedules now.
+                    // A new scheduler reads the persisted quarantine at once.
                     self.quarantine.changed.notify_one();
                     let is_lost = now.is_none();
                     current = now;
@@ -212,7 +213,7 @@
             }
         };
         members.heard.send_replace(());
-        // The next one is asked too; it knows what the one that schedules has told it.
+        // The next candidate is queried too; it has its state from the scheduler.
         let schedules = members.scheduler().as_ref() == Some(&instance);
         let Some(state) = state.filter(|_| schedules) else {
             return;
--- a/crates/server/src/gateway/sending.rs
+++ b/crates/server/src/gateway/sending.rs
@@ -1,4 +1,4 @@
-//! Sends a request to one server after the other until there is an answer to give.
+//! Sends a request to one server after the other until there is a response to return.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,11 +21,11 @@
 };
 use crate::http_body::{self, Body};
 
-/// Servers that a request is handed to without any of them being reached.
+/// Maximum number of servers that a request is tried at.
 const MOST_UNREACHED: usize = 4;
 
 impl Forwarder {
-    /// Sends a request to servers until there is an answer to give.
+    /// Sends a request to servers until there is a response to return.
     pub(super) async fn send(
         self: &Arc<Self>,
         caller: CallerRequest,
@@ -40,7 +40,7 @@
             if let Err(why) = self.admit(&caller, &mut permit).await {
                 return Err(match why {
                     Why::EndsServers(_) => why,
-                    // What is refused now may have run at the server before.
+                    // A request that is rejected now may have run at a server before.
                     _ if may_have_run => Why::Lost,
                     _ => why,
                 });
@@ -94,7 +94,8 @@
                 let found = self.find(&caller, &inputs, &tried, permit.as_ref());
                 found.0.is_some()
             };
-            // Where an input is gone, the same servers will do once it is made again.
+            // If an input is gone, the same servers can be used once it is computed
+            // again.
             let has_room = sends < caller.route().max_servers
                 && tried.len() < MOST_UNREACHED
                 && !caller.left().is_zero()
@@ -108,7 +109,7 @@
                 (NextStep::SendAgain, _) if end == AttemptEnd::InputsGone || were_let_go => {
                     inputs = match self.run_stages(&caller).await {
                         Ok(inputs) => inputs,
-                        // What is refused now may have run at the server before.
+                        // A request that is rejected now may have run at a server before.
                         Err(_) if may_have_run => return Err(Why::Lost),
                         Err(why) => return Err(why),
                     };
@@ -129,8 +130,8 @@
         }
     }
 
-    /// Lets results go once an engine of `service` has had the time to fetch
-    /// them, while `sending` goes on; returns them if it ends before.
+    /// Releases results once an engine of `service` has had time to fetch them while
+    /// `sending` continues; returns them if it ends first.
     async fn while_fetched(
         &self,
         service: &PoolName,
@@ -149,7 +150,8 @@
         }
     }
 
-    /// Learns from the end of a send whether its results were let go too soon.
+    /// Records for the service's fetch times whether the results were released too early
+    /// for this send.
     fn note_fetched(&self, service: &PoolName, were_let_go: bool, sent: &Sent) {
         if !were_let_go {
             return;
@@ -165,8 +167,8 @@
         }
     }
 
-    /// Sends a request to one server until the caller's deadline; where it may
-    /// move on, a server that stays silent is given up for another one.
+    /// Sends a request to one server, until the caller's deadline. If `may_fail_over`, a
+    /// server that stays silent is abandoned for another one.
     async fn send_to(
         self: &Arc<Self>,
         caller: &CallerRequest,
@@ -183,7 +185,7 @@
                 return Some(sent);
             }
             if self.may_repeat_elsewhere(caller, inputs, tried) {
-                // Closes the connection, so that the server stops.
+                // Closes the connection, so that the server cancels the request.
                 drop(sent);
                 self.give_up(caller, server, silence);
                 return Some(Sent::Ended(AttemptEnd::Silent, None));
@@ -192,8 +194,8 @@
         time::timeout_at(caller.deadline, sent).await.ok()
     }
 
-    /// Tells whether there is another server for a request and a repeat in the
-    /// budget, which it takes.
+    /// Returns whether another server can take a request and the retry budget allows it;
+    /// takes a retry from the budget if so.
     pub(super) fn may_repeat_elsewhere(
         &self,
         caller: &CallerRequest,
@@ -205,13 +207,13 @@
             && self.knowledge.budgets().try_spend(&caller.service)
     }
 
-    /// Notes that a server was given up as it stayed silent.
+    /// Records that a server was abandoned because it stayed silent.
     pub(super) fn give_up(&self, caller: &CallerRequest, server: &BackendName, waited: Duration) {
         let now_ms = self.clock.now_ms();
         self.knowledge.fleet().on_given_up(now_ms, server);
         let entry = self.knowledge.directory().entry(server).cloned();
         if let Some(entry) = entry {
-            // Others that are kept may be as silent.
+            // Other pooled connections to it may be dead too.
             self.servers.forget(entry.addr);
             let lost = self.lost(caller, entry);
             self.ends.on_silent(lost);
--- a/crates/server/src/gateway/settings.rs
+++ b/crates/server/src/gateway/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an instance that forwards requests, read from one YAML file.
+//! Settings of a gateway instance, read from one YAML file.
 
 use std::{net::SocketAddr, path::Path};
 
@@ -14,32 +14,32 @@
     settings::{Log, file_limits, load, read_log, read_quarantine},
 };
 
-/// Most instances that are named as first contacts.
+/// Maximum number of seeds.
 const MOST_SEEDS: usize = 64;
-/// Longest duration that a setting takes, in ms.
+/// Longest allowed duration, in ms.
 const MAX_DURATION_MS: u64 = 600_000;
-/// Longest duration that a setting takes, in s.
+/// Longest allowed duration, in s.
 const MAX_DURATION_S: f64 = 600.0;
-/// Time by which a process ends before it would be killed, in ms: one that is
-/// slow or short of processor time still has it for its last lines.
+/// Time before the platform kills a process at which it exits itself, in ms: a process
+/// that is slow or short of CPU time can still write its last log lines.
 const KILL_SPARE_MS: u64 = 500;
 
-/// Times within which what the platform says has to be in force where the settings do
-/// not say: the shortest that any platform has asked for.
+/// Default for the times within which changes from the platform have to be in force: the
+/// shortest that any platform has required.
 const DEFAULT_IN_FORCE: InForce = InForce {
     configuration_ms: 2_000,
     leaving_ms: 2_000,
 };
-/// Shortest such time, in ms: it takes two reads of the store and a question to the one
+/// Shortest such time, in ms: it takes two reads of the store and a query to the instance
 /// that reads it.
 const MIN_IN_FORCE_MS: u64 = 1_000;
 
-/// Everything that a forwarding instance is told from outside.
+/// Settings of a gateway instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewaySettings {
     /// Name of the instance.
     pub instance: InstanceName,
-    /// Availability zone that it stands in.
+    /// Availability zone that it runs in.
     pub zone: ZoneName,
     /// Region of that zone.
     pub region: RegionName,
@@ -47,31 +47,31 @@
     pub listen: GatewayListen,
     /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Instances to ask for their state while the store is away.
+    /// Addresses of instances to query for their state while the store is unavailable.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole deployment starts for the first time, so that the store has
-    /// nothing to read yet.
+    /// Whether the whole deployment starts for the first time, so that the store is still
+    /// empty.
     pub is_first_start: bool,
-    /// Part of a core that it has.
+    /// Number of CPU cores that it has; may be a fraction.
     pub cores: f64,
-    /// What all instances together may send again.
+    /// Retry budget of all instances together.
     pub repeats: BudgetSettings,
-    /// Times within which what the platform says has to be in force.
+    /// Times within which changes from the platform have to be in force.
     pub in_force: InForce,
-    /// How long requests that end servers are refused, and how many are remembered.
+    /// How long requests that crash servers are refused, and how many are remembered.
     pub quarantine: QuarantineSettings,
-    /// How it logs.
+    /// Logging settings.
     pub log: Log,
-    /// How it stops.
+    /// Shutdown settings.
     pub drain: GatewayDrain,
 }
 
-/// Addresses that a forwarding instance listens on.
+/// Addresses that a gateway instance listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GatewayListen {
     /// For callers.
     pub caller: SocketAddr,
-    /// For the platform's question whether it takes requests.
+    /// For the platform's readiness checks.
     pub ready: SocketAddr,
     /// For other instances.
     pub peer: SocketAddr,
@@ -79,24 +79,24 @@
     pub admin: SocketAddr,
 }
 
-/// How a forwarding instance stops.
+/// Shutdown settings of a gateway instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GatewayDrain {
-    /// Time for which it still takes connections after it has said that it is
-    /// not ready, in ms.
+    /// Time for which it still accepts connections after it has reported that it is not
+    /// ready, in ms.
     pub grace_ms: u64,
-    /// Time after the signal to stop at which the platform kills the process, in ms.
+    /// Time after the stop signal at which the platform kills the process, in ms.
     pub kill_after_ms: u64,
 }
 
 impl GatewayDrain {
-    /// Returns the time from the signal to stop to the end of the process, in ms.
+    /// Returns the time from the stop signal to the exit of the process, in ms.
     pub(crate) fn stop_after_ms(&self) -> u64 {
         self.kill_after_ms.saturating_sub(KILL_SPARE_MS)
     }
 
-    /// Returns the time for which connections are still taken, in ms: what is set,
-    /// but most of what is left of the process is for the requests that it has.
+    /// Returns the time for which connections are still accepted, in ms: as set, but at
+    /// most a third of the time to the exit, as the rest is for requests in flight.
     pub(crate) fn accept_for_ms(&self) -> u64 {
         self.grace_ms.min(self.stop_after_ms() / 3)
     }
--- a/crates/server/src/gateway/signals.rs
+++ b/crates/server/src/gateway/signals.rs
@@ -1,4 +1,5 @@
-//! Applies the signals of backend servers about themselves, from the heads of all answers.
+//! Applies the signals that backend servers send about themselves in the heads of their
+//! responses.
 
 use http::HeaderName;
 use savoryvane_core::{
@@ -12,33 +13,34 @@
 use super::knowledge::Knowledge;
 use crate::lock::lock;
 
-/// Most names of unknown headers that are noted.
+/// Maximum number of unknown header names that are remembered.
 const MAX_UNKNOWN_HEADERS: usize = 64;
 
-/// What an answer is an answer to.
+/// What a response responds to.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Answered<'a> {
-    /// A request of a caller.
+    /// A caller's request.
     Request(&'a RequestId),
-    /// A call with pieces of stages.
+    /// A call to run pieces of stages.
     Call(CallId),
     /// A call that frees results.
     Free,
 }
 
-/// Whether something may be sent to a server.
+/// Whether a request or call may be sent to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Sendable {
-    /// It may.
+    /// It may be sent.
     Yes,
-    /// It leaves, is gone, or its availability zone is evacuated.
+    /// The server is leaving or gone, or its availability zone is evacuated.
     Closed,
-    /// The server is backing off until a time, in ms.
+    /// The server is backing off until this time, in ms.
     BackingOff(u64),
 }
 
 impl Answered<'_> {
-    /// Tells whether an answer belongs to it, as far as the answer says.
+    /// Returns whether a response belongs to the request or call, as far as its head
+    /// shows.
     fn is_answered_by(self, head: &AnswerHead) -> bool {
         match (self, &head.id) {
             (Self::Request(id), Some(answered)) => id == answered,
@@ -62,8 +64,8 @@
 }
 
 impl Knowledge {
-    /// Applies the signals in the head of an answer of `server`, to which the request or call
-    /// was sent at `sent_at_ms`.
+    /// Applies the signals in the head of a response of `server` to the request or call
+    /// that was sent at `sent_at_ms`.
     pub(super) fn on_answer_head(
         &self,
         server: &BackendName,
@@ -73,7 +75,7 @@
     ) {
         self.note_unknown(server, &head.unknown);
         if head.is_misdirected {
-            // Another run has the address, and speaks of itself.
+            // Another run has the address, and its signals describe that run.
             self.on_leaving(server, "another run at its address");
         } else if answered.is_answered_by(head) {
             self.on_signals(server, sent_at_ms, answered, head);
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Tells whether something may be sent to a server now.
+    /// Returns whether a request or call may be sent to a server now.
     pub(super) fn sendable(&self, server: &BackendName) -> Sendable {
         let is_closed = {
             let directory = self.directory();
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Logs unknown headers, once for each name.
+    /// Logs unknown headers, once per name.
     fn note_unknown(&self, server: &BackendName, names: &[HeaderName]) {
         for name in names {
             let is_new = {
--- a/crates/server/src/gateway/stages.rs
+++ b/crates/server/src/gateway/stages.rs
@@ -1,4 +1,4 @@
-//! Has the stages of a request run, by whichever instance schedules.
+//! Submits the stages of requests to the scheduler.
 
 use std::{
     sync::{
@@ -19,14 +19,15 @@
 use super::{dispatch::Dispatch, members::Members};
 use crate::peer::PeerError;
 
-/// Time on top of a request's own for its scheduler to tell that it has run out.
+/// Margin added to the time left for a request, for the scheduler to respond that it has
+/// run out.
 const ANSWER_SPARE: Duration = Duration::from_millis(200);
-/// Schedulers that a request is handed to one after the other.
+/// Maximum number of schedulers that a request is submitted to.
 const MOST_SCHEDULERS: u32 = 6;
-/// Time for a scheduler to be told that results are not needed.
+/// Timeout of a message that releases results.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Has stages run, here or at another instance.
+/// Submits stages to the scheduler, at this or another instance.
 #[derive(Debug)]
 pub(super) struct Stages {
     instance: InstanceName,
@@ -37,16 +38,15 @@
     submissions: AtomicU64,
 }
 
-/// The end of a request's stages, and who scheduled them.
+/// Outcome of a request's stages, with the guard of their results.
 #[derive(Debug)]
 pub(super) struct Ended {
     pub(super) outcome: StageOutcome,
-    /// Tells the scheduler when it is dropped that the results are not needed
-    /// any more.
+    /// Releases the results at the scheduler when dropped.
     pub(super) held: Option<Held>,
 }
 
-/// Results that are kept for a request.
+/// Keeps the results of a request's stages; releases them when dropped.
 #[derive(Debug)]
 pub(super) struct Held {
     stages: Arc<Stages>,
@@ -67,7 +67,7 @@
                 .request(&scheduler, None, &message, RELEASE_TIMEOUT)
                 .await;
             if let Err(err) = told {
-                // It drops them by itself once the request's time is over.
+                // The scheduler drops them itself once the request's deadline has passed.
                 debug!(stages.log, "results not released"; "error" => %err);
             }
         });
@@ -92,7 +92,7 @@
         })
     }
 
-    /// Returns a new name for a request at its scheduler.
+    /// Returns a new key of a request at its scheduler.
     pub(super) fn next_key(&self) -> RequestKey {
         RequestKey {
             instance: self.instance.clone(),
@@ -101,8 +101,8 @@
         }
     }
 
-    /// Runs the stages of a request; dropping the future gives them up. When
-    /// its scheduler is lost, the next one starts over.
+    /// Runs the stages of a request; dropping the future cancels them. If the scheduler
+    /// is lost, they start over at the next one.
     pub(super) async fn run(self: &Arc<Self>, mut submission: Submission) -> Ended {
         let began = Instant::now();
         let (goal_ms, deadline_ms) = (submission.goal_left_ms, submission.deadline_left_ms);
@@ -139,10 +139,10 @@
                 (Err(Lost::Failed(err)), Some(scheduler)) => {
                     self.members.on_scheduler_lost(&scheduler, &err);
                 }
-                // This instance itself loses nothing.
+                // Scheduling at this instance does not fail.
                 (Err(_), None) => {}
             }
-            // What the one before may still finish is not this one.
+            // The previous scheduler may still finish the submission under the old key.
             submission.key = self.next_key();
         }
         Ended {
@@ -169,7 +169,7 @@
         Ended { outcome, held }
     }
 
-    /// Has the stages run by `scheduler`, or here when there is none.
+    /// Runs the stages at `scheduler`, or at this instance if there is none.
     async fn run_at(
         &self,
         scheduler: Option<&InstanceName>,
@@ -199,10 +199,10 @@
     }
 }
 
-/// Why a scheduler did not tell how stages ended.
+/// Why a scheduler did not report the outcome of stages.
 enum Lost {
     /// It does not schedule for others now.
     Declined,
-    /// It was not reached or gave no answer.
+    /// It was unreachable or gave no response.
     Failed(PeerError),
 }
--- a/crates/server/src/gateway/store.rs
+++ b/crates/server/src/gateway/store.rs
@@ -21,40 +21,42 @@
     platform::request,
 };
 
-/// Time for a call to be answered beyond what it waits by itself: the store
-/// answers in 4 ms, and slowed down sixty times in 240.
+/// Timeout of a call beyond the wait that it requests: the store responds in 4 ms, and in
+/// 240 ms when slowed down by a factor of sixty.
 const TIMEOUT: Duration = Duration::from_millis(800);
-/// The same of a whole topic, which is a megabyte or more in a large fleet and comes
-/// over a link of 10 Mbit/s.
+/// Timeout of a page of a whole topic, which is a megabyte or more in a large fleet and
+/// is transferred over a link of 10 Mbit/s.
 const WHOLE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Times that a page is asked for, once the one before it has come.
+/// Maximum number of attempts to read a page after the first page has been read.
 const MOST_PAGE_TRIES: u32 = 3;
-/// Pause before it is asked for again, in ms: spread, since others ask too.
+/// Range of the random delay before the next attempt, in ms: spread, since other
+/// instances retry too.
 const PAGE_PAUSES_MS: RangeInclusive<u64> = 100..=400;
-/// Time for a connection to be made.
+/// Timeout for connecting to the store.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Largest answer that is read, in bytes: a page of the store is at most 1 MB,
-/// in base64.
+/// Largest response that is read, in bytes: a page of the store is at most 1 MB, in
+/// base64.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
-/// Connections that are kept.
+/// Maximum number of idle connections.
 const MAX_IDLE: usize = 2;
-/// Time after which a kept connection is closed.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 quick_error! {
-    /// Why a call of the store has no answer.
+    /// Why a call to the store failed.
     #[derive(Debug)]
     pub enum StoreError {
-        /// It was not reached, or its answer was lost.
+        /// The store was unreachable, or its response was lost.
         Unanswered(err: SendError) {
             from()
             display("no answer: {err}")
         }
-        /// It is of an era before one that the store has answered from.
+        /// The response is from an era before one that the store has already responded
+        /// from.
         Outdated(era: u64) {
             display("answer of the earlier era {era}")
         }
-        /// It refused, or its answer makes no sense.
+        /// The store rejected the call, or its response is invalid.
         Refused(err: savoryvane_platform::Error) {
             from()
             display("{err}")
@@ -62,38 +64,39 @@
     }
 }
 
-/// Result of a call of the store.
+/// Result of a call to the store.
 pub(super) type Result<T> = std::result::Result<T, StoreError>;
 
-/// What a read of a topic gave.
+/// The result of a read of a topic.
 pub(super) enum Reading {
-    /// Records from the position that was asked for on, in order.
+    /// Records from the requested position on, in order.
     Records {
         records: Vec<Record>,
         /// Offset of the first record that was not read.
         next: u64,
     },
-    /// Records at that position are not there: the newest of each key has to be read.
+    /// The records at that position no longer exist: the latest record of each key has to
+    /// be read.
     Trimmed,
 }
 
-/// The newest record of each key of a topic.
+/// The latest record of each key of a topic.
 pub(super) struct Newest {
     pub(super) records: Vec<Record>,
-    /// Era of the store that they are of.
+    /// Era of the store that the records belong to.
     pub(super) era: u64,
-    /// Offset from which later records are to be read.
+    /// Offset from which later records have to be read.
     pub(super) end: u64,
 }
 
-/// An answer of the store.
+/// A response of the store.
 struct StoreAnswer {
     status: StatusCode,
     era: u64,
     body: Bytes,
 }
 
-/// Calls the store over connections of its own.
+/// Calls the store over its own connections.
 #[derive(Clone, Debug)]
 pub(super) struct StoreClient {
     addr: SocketAddr,
@@ -102,14 +105,14 @@
     connections: Arc<Connections>,
 }
 
-/// When the store is called.
+/// State that decides when the store is called.
 #[derive(Debug)]
 struct Turns {
     retry: StoreRetry,
     reader: Reader,
-    /// Latest era that the store has answered from.
+    /// Latest era that the store has responded from.
     era: u64,
-    /// Time at which a call failed last, in ms.
+    /// Time of the last failed call, in ms.
     failed_at_ms: Option<u64>,
 }
 
@@ -120,7 +123,7 @@
             clock,
             turns: Arc::new(Mutex::new(Turns {
                 retry: StoreRetry::default(),
-                // Until it knows what it is, it has nobody else to rely on.
+                // Until its role is known, it can rely on no other instance.
                 reader: Reader::Reserve,
                 era: 0,
                 failed_at_ms: None,
@@ -133,31 +136,31 @@
         }
     }
 
-    /// Takes over what this instance has to do with the store, which is to be known once
-    /// it has routes and servers: until then it has nobody else to rely on.
+    /// Sets this instance's role in reading the store. It must be called only once the
+    /// instance has routes and servers: until then, it can rely on no other instance.
     pub(super) fn set_reader(&self, reader: Reader) {
         self.turns().reader = reader;
     }
 
-    /// Begins a call; after one that failed returns how long to wait instead, but for
-    /// the one that tries whether the store is back.
+    /// Begins a call. While calls are failing, returns the time to wait instead, except
+    /// for the call that checks whether the store is available again.
     pub(super) fn begin(&self) -> std::result::Result<(), Duration> {
         let wait_ms = self.turns().retry.begin(self.clock.now_ms());
         wait_ms.map_or(Ok(()), |wait_ms| Err(Duration::from_millis(wait_ms)))
     }
 
-    /// Tells whether the last call failed.
+    /// Returns whether the last call failed.
     pub(super) fn is_failing(&self) -> bool {
         self.turns().retry.is_failing()
     }
 
-    /// Returns the time since a call failed last, in ms.
+    /// Returns the time since the last failed call, in ms.
     pub(super) fn failed_ago_ms(&self) -> Option<u64> {
         let failed_at_ms = self.turns().failed_at_ms?;
         Some(self.clock.now_ms().saturating_sub(failed_at_ms))
     }
 
-    /// Returns the latest era that the store has answered from.
+    /// Returns the latest era that the store has responded from.
     pub(super) fn era(&self) -> u64 {
         self.turns().era
     }
@@ -177,7 +180,7 @@
         let call = store::read(topic, from.offset, wait_ms);
         let answer = self.call(call, wait + TIMEOUT).await?;
         if answer.era != from.era {
-            // Other records have the offsets of an earlier era.
+            // The same offsets hold other records in another era.
             return Ok(Reading::Trimmed);
         }
         match store::decode_read(from.offset, answer.status, &answer.body)? {
@@ -186,7 +189,7 @@
         }
     }
 
-    /// Reads the newest record of each key of `topic`.
+    /// Reads the latest record of each key of `topic`.
     pub(super) async fn newest(&self, topic: Topic) -> Result<Newest> {
         let mut records: Vec<Record> = Vec::new();
         let mut first = None;
@@ -199,8 +202,8 @@
                 has_more,
                 end,
             } = store::decode_newest(answer.status, &answer.body)?;
-            // Pages are taken one after the other: what changed meanwhile is
-            // read again from the end that the first one gave.
+            // Pages are read one after the other: changes made meanwhile are read again
+            // from the end offset that the first page gave.
             let (era, end) = *first.get_or_insert((answer.era, end));
             if era != answer.era {
                 return Err(StoreError::Outdated(era));
@@ -213,8 +216,8 @@
         }
     }
 
-    /// Reads one page of a topic. Where hundreds read whole topics at the same time one
-    /// comes late, and the pages before it need not be read again for that.
+    /// Reads one page of a topic. When hundreds of instances read whole topics at the
+    /// same time, a page may be late; retrying it avoids reading the earlier pages again.
     async fn page(&self, topic: Topic, after: Option<&str>) -> Result<StoreAnswer> {
         let mut tries = 1;
         loop {
@@ -229,7 +232,7 @@
         }
     }
 
-    /// Writes what the instance `name` says of itself.
+    /// Writes the list entry of the instance `name`.
     pub(super) async fn write_instance(&self, name: &str, record: &InstanceRecord) -> Result<()> {
         self.write(store::write_instance(name, record)?).await
     }
@@ -274,7 +277,7 @@
         })
     }
 
-    /// Notes the era of an answer.
+    /// Records the era of a response.
     fn on_era(&self, era: u64) -> Result<()> {
         let mut turns = self.turns();
         if era < turns.era {
@@ -285,7 +288,7 @@
     }
 }
 
-/// Tells whether the store takes no calls of this instance now.
+/// Returns whether the store rejects this instance's calls at the moment.
 fn is_refusal(status: StatusCode) -> bool {
     status == StatusCode::TOO_MANY_REQUESTS || status.is_server_error()
 }
