--- a/crates/server/src/gateway.rs
+++ b/crates/server/src/gateway.rs
@@ -1,37 +1,37 @@
 //! An instance that forwards callers' requests to backend servers unmodified, by routes
 //! that the operator maintains in the platform's store.
 
-mod admitting;
-mod answers;
 mod attempt;
 mod batch;
-mod calls;
 mod catch_up;
 mod crashes;
-mod departure;
 mod dispatch;
-mod follow;
+mod failover;
 mod forward;
 mod freshness;
-mod granting;
+mod grants;
 mod ingress;
 mod instance;
-mod keeping;
-mod knowledge;
+mod instance_list;
 mod limits;
-mod listing;
+mod local_reply;
 mod members;
-mod peering;
+mod peer_messages;
 mod quarantine;
-mod register;
+mod quarantine_check;
+mod quarantine_store;
 mod relay;
 mod request;
-mod scheduling;
-mod sending;
+mod routing_view;
+mod scheduler_watch;
+mod server_register;
 mod settings;
+mod shutdown;
 mod signals;
-mod stages;
+mod stage_calls;
+mod stage_submission;
 mod store;
+mod store_follower;
 
 pub use instance::Gateway;
 pub use settings::{GatewayDrain, GatewayListen, GatewaySettings};
--- a/crates/server/src/gateway/attempt.rs
+++ b/crates/server/src/gateway/attempt.rs
@@ -15,26 +15,26 @@
 use tokio::time::Instant;
 
 use super::{
-    crashes::LostServer,
+    crashes::LostConnection,
     forward::{Forwarder, Inputs},
     request::CallerRequest,
-    signals::{Answered, Sendable},
+    signals::{ResponseTo, Sendable},
 };
 use crate::connections::{Exchange, Lease, Reuse, SendError};
 
 /// Largest response that is buffered before it is forwarded, in bytes: a response that
 /// breaks off may still be replaced by one from another server.
-const GATHERED_BYTES: usize = 1 << 20;
+const MAX_BUFFERED_BYTES: usize = 1 << 20;
 /// Idle time up to which a pooled connection may carry a request that must not be
 /// repeated; servers close idle connections at any moment.
-const FRESH_CONNECTION: Duration = Duration::from_millis(500);
+const MAX_IDLE_UNREPEATABLE: Duration = Duration::from_millis(500);
 /// Margin by which a pooled connection is dropped before the server's keep-alive timeout.
-const KEEP_ALIVE_SPARE: Duration = Duration::from_millis(700);
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
 /// Outcome of one send.
-pub(super) enum Sent {
+pub(super) enum SendOutcome {
     /// A complete response.
-    Whole(Response<Bytes>),
+    Complete(Response<Bytes>),
     /// An event stream whose head has arrived.
     Stream(Box<Stream>),
     /// No usable response, except possibly an error response of the server.
@@ -62,7 +62,7 @@
 
 /// What the outcome of a request says about its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ServerEnd {
+pub(super) enum ServerOutcome {
     Answered,
     Full,
     Failing,
@@ -71,25 +71,25 @@
 }
 
 impl InFlight {
-    pub(super) fn end(mut self, end: ServerEnd) {
+    pub(super) fn end(mut self, end: ServerOutcome) {
         self.has_ended = true;
-        if end == ServerEnd::Answered {
+        if end == ServerOutcome::Answered {
             let elapsed_ms = self.began.elapsed().as_millis() as u64;
-            let mut times = self.forwarder.knowledge.answer_times();
+            let mut times = self.forwarder.view.response_times();
             times.record(&self.route.name, elapsed_ms);
         }
         let now_ms = self.forwarder.clock.now_ms();
-        let mut fleet = self.forwarder.knowledge.fleet();
+        let mut fleet = self.forwarder.view.fleet();
         let before = fleet.cut_off_zones(now_ms);
         match end {
-            ServerEnd::Answered => {
+            ServerOutcome::Answered => {
                 let elapsed_us = self.began.elapsed().as_micros() as u64;
                 fleet.on_answered(now_ms, &self.server.id, elapsed_us);
             }
-            ServerEnd::Full => fleet.on_full(now_ms, &self.server.id),
-            ServerEnd::Failing => fleet.on_failing(now_ms, &self.server.id),
-            ServerEnd::Silent => fleet.on_silent(now_ms, &self.server.id),
-            ServerEnd::Unreachable => fleet.on_unreachable(now_ms, &self.server.id),
+            ServerOutcome::Full => fleet.on_full(now_ms, &self.server.id),
+            ServerOutcome::Failing => fleet.on_failing(now_ms, &self.server.id),
+            ServerOutcome::Silent => fleet.on_silent(now_ms, &self.server.id),
+            ServerOutcome::Unreachable => fleet.on_unreachable(now_ms, &self.server.id),
         }
         let cut_off = fleet.cut_off_zones(now_ms);
         if cut_off != before {
@@ -103,7 +103,7 @@
     fn drop(&mut self) {
         if !self.has_ended {
             let now_ms = self.forwarder.clock.now_ms();
-            let mut fleet = self.forwarder.knowledge.fleet();
+            let mut fleet = self.forwarder.view.fleet();
             fleet.on_abandoned(now_ms, &self.server.id);
         }
     }
@@ -118,14 +118,14 @@
         inputs: &Inputs,
         server: &BackendName,
         last_event: Option<&str>,
-    ) -> Sent {
-        let may_send = || self.knowledge.sendable(server) == Sendable::Yes;
-        let entry = self.knowledge.directory().entry(server).cloned();
+    ) -> SendOutcome {
+        let may_send = || self.view.sendable(server) == Sendable::Yes;
+        let entry = self.view.directory().entry(server).cloned();
         let Some(entry) = entry.filter(|_| may_send()) else {
-            return Sent::Ended(AttemptEnd::NotSent, None);
+            return SendOutcome::Ended(AttemptEnd::NotSent, None);
         };
         let now_ms = self.clock.now_ms();
-        self.knowledge.fleet().on_forwarded(now_ms, server);
+        self.view.fleet().on_forwarded(now_ms, server);
         let in_flight = InFlight {
             forwarder: Arc::clone(self),
             server: entry,
@@ -136,7 +136,7 @@
         };
         let reuse = match caller.repeats() {
             Repeats::Allowed => Reuse::Any,
-            Repeats::Never => Reuse::Within(FRESH_CONNECTION),
+            Repeats::Never => Reuse::Within(MAX_IDLE_UNREPEATABLE),
         };
         let addr = in_flight.server.addr;
         let request = caller.to_server(server, &inputs.handles, last_event);
@@ -145,73 +145,77 @@
             .send_reusing(addr, request, caller.deadline, reuse, may_send)
             .await;
         match sent {
-            Ok(exchange) => self.read_answer(caller, exchange, in_flight).await,
+            Ok(exchange) => self.read_response(caller, exchange, in_flight).await,
             Err(SendError::NotSent(_)) if !may_send() => {
                 info!(self.log, "send withheld"; "request" => %caller.id, "server" => %server,
                     "elapsed_ms" => caller.elapsed_ms());
-                Sent::Ended(AttemptEnd::NotSent, None)
+                SendOutcome::Ended(AttemptEnd::NotSent, None)
             }
             Err(SendError::NotSent(reason)) => {
-                warn!(self.log, "server not reached"; "request" => %caller.id,
+                warn!(self.log, "server unreachable"; "request" => %caller.id,
                     "server" => %server, "error" => reason);
-                in_flight.end(ServerEnd::Unreachable);
-                Sent::Ended(AttemptEnd::NotSent, None)
+                in_flight.end(ServerOutcome::Unreachable);
+                SendOutcome::Ended(AttemptEnd::NotSent, None)
             }
             Err(SendError::Sent(reason)) => {
                 warn!(self.log, "answer lost"; "request" => %caller.id,
                     "server" => %server, "error" => reason);
-                self.on_lost(caller, in_flight).await;
-                Sent::Ended(AttemptEnd::Lost, None)
+                self.on_connection_lost(caller, in_flight).await;
+                SendOutcome::Ended(AttemptEnd::Lost, None)
             }
         }
     }
 
     /// Finds out whether a server whose connection broke crashed under the request.
-    pub(super) async fn on_lost(&self, caller: &CallerRequest, in_flight: InFlight) {
-        let lost = self.lost(caller, in_flight.server.clone());
-        in_flight.end(ServerEnd::Silent);
-        let ends = Arc::clone(&self.ends);
+    pub(super) async fn on_connection_lost(&self, caller: &CallerRequest, in_flight: InFlight) {
+        let lost = self.lost_connection(caller, in_flight.server.clone());
+        in_flight.end(ServerOutcome::Silent);
+        let ends = Arc::clone(&self.crash_detector);
         // Runs in a task of its own: the crash is recorded even if the caller disconnects
         // now.
-        let known = tokio::spawn(async move { ends.on_lost(lost).await });
-        if let Err(err) = known.await {
-            warn!(self.log, "loss not looked at"; "request" => %caller.id, "error" => %err);
+        let task = tokio::spawn(async move { ends.on_connection_lost(lost).await });
+        if let Err(err) = task.await {
+            warn!(self.log, "connection loss not checked"; "request" => %caller.id, "error" => %err);
         }
     }
 
     /// Describes the loss of the connection that carried a caller's request.
-    pub(super) fn lost(&self, caller: &CallerRequest, server: ServerEntry) -> LostServer {
-        let calls = self.knowledge.fleet().in_flight(&server.id);
-        LostServer {
+    pub(super) fn lost_connection(
+        &self,
+        caller: &CallerRequest,
+        server: ServerEntry,
+    ) -> LostConnection {
+        let in_flight_requests = self.view.fleet().in_flight(&server.id);
+        LostConnection {
             server,
             requests: vec![(caller.id.clone(), caller.digest)],
-            others: calls.saturating_sub(1),
+            other_requests: in_flight_requests.saturating_sub(1),
         }
     }
 
-    async fn read_answer(
+    async fn read_response(
         &self,
         caller: &CallerRequest,
         exchange: Exchange,
         in_flight: InFlight,
-    ) -> Sent {
+    ) -> SendOutcome {
         let Exchange { response, lease } = exchange;
         let status = response.status();
         let head = answer::decode(status, response.headers());
-        self.knowledge.on_answer_head(
+        self.view.on_response_head(
             &in_flight.server.id,
             in_flight.sent_at_ms,
-            Answered::Request(&caller.id),
+            ResponseTo::Request(&caller.id),
             &head,
         );
-        if let Some(fault) = fault(caller, status, &head) {
-            warn!(self.log, "answer not used"; "request" => %caller.id,
+        if let Some(fault) = response_fault(caller, status, &head) {
+            warn!(self.log, "unusable response"; "request" => %caller.id,
                 "server" => %in_flight.server.id, "status" => status.as_u16(), "fault" => fault);
-            in_flight.end(ServerEnd::Failing);
-            return Sent::Ended(AttemptEnd::Lost, None);
+            in_flight.end(ServerOutcome::Failing);
+            return SendOutcome::Ended(AttemptEnd::Lost, None);
         }
         if status.is_success() && head.has_events {
-            return Sent::Stream(Box::new(Stream {
+            return SendOutcome::Stream(Box::new(Stream {
                 response,
                 lease,
                 server: in_flight,
@@ -219,33 +223,33 @@
             }));
         }
         let (mut parts, body) = response.into_parts();
-        let body = match Limited::new(body, GATHERED_BYTES).collect().await {
+        let body = match Limited::new(body, MAX_BUFFERED_BYTES).collect().await {
             Ok(body) => body.to_bytes(),
             Err(err) => {
-                warn!(self.log, "answer broke off"; "request" => %caller.id,
+                warn!(self.log, "response broke off"; "request" => %caller.id,
                     "server" => %in_flight.server.id, "error" => %err);
-                self.on_lost(caller, in_flight).await;
-                return Sent::Ended(AttemptEnd::Lost, None);
+                self.on_connection_lost(caller, in_flight).await;
+                return SendOutcome::Ended(AttemptEnd::Lost, None);
             }
         };
-        keep(lease, &head);
+        return_to_pool(lease, &head);
         parts.headers = answer::forward(&parts.headers);
         let response = Response::from_parts(parts, body);
         if head.is_not_run {
-            in_flight.end(ServerEnd::Full);
+            in_flight.end(ServerOutcome::Full);
             let end = match (head.is_misdirected, head.is_input_gone) {
                 (true, _) => AttemptEnd::Misdirected,
                 (false, true) => AttemptEnd::InputsGone,
                 (false, false) => AttemptEnd::NotRun,
             };
-            return Sent::Ended(end, None);
+            return SendOutcome::Ended(end, None);
         }
         self.quarantine.on_answered(caller.digest);
-        in_flight.end(ServerEnd::Answered);
+        in_flight.end(ServerOutcome::Answered);
         if status.is_success() || status.is_client_error() {
-            return Sent::Whole(response);
+            return SendOutcome::Complete(response);
         }
-        Sent::Ended(AttemptEnd::Failed, Some(response))
+        SendOutcome::Ended(AttemptEnd::Failed, Some(response))
     }
 }
 
@@ -255,18 +259,22 @@
 }
 
 /// Returns a connection to the pool after its response was read.
-pub(super) fn keep(lease: Lease, head: &AnswerHead) {
+pub(super) fn return_to_pool(lease: Lease, head: &AnswerHead) {
     let limit = head
         .keep_alive_s
         .map_or(Duration::MAX, Duration::from_secs)
-        .saturating_sub(KEEP_ALIVE_SPARE);
+        .saturating_sub(KEEP_ALIVE_MARGIN);
     tokio::spawn(async move { lease.keep_for(limit).await });
 }
 
 /// Returns what makes a response unusable, judged by its head.
-fn fault(caller: &CallerRequest, status: StatusCode, head: &AnswerHead) -> Option<&'static str> {
+fn response_fault(
+    caller: &CallerRequest,
+    status: StatusCode,
+    head: &AnswerHead,
+) -> Option<&'static str> {
     if head.id.as_ref().is_some_and(|id| *id != caller.id) {
-        return Some("it answers another request");
+        return Some("it responds to another request");
     }
     if !status.is_success() {
         return None;
@@ -274,5 +282,5 @@
     if !head.is_signed {
         return Some("it is not signed");
     }
-    head.is_encoded.then_some("it is encoded")
+    head.is_encoded.then_some("it has a content encoding")
 }
--- a/crates/server/src/gateway/batch.rs
+++ b/crates/server/src/gateway/batch.rs
@@ -8,7 +8,7 @@
     pub(super) records: Vec<Record>,
     /// Whether `records` holds the latest record of every key rather than the changes
     /// since a position.
-    pub(super) is_whole: bool,
+    pub(super) is_snapshot: bool,
     /// Era of the store that the records belong to.
     pub(super) era: u64,
     /// Offset up to which the topic is known after the read.
--- a/crates/server/src/gateway/crashes.rs
+++ b/crates/server/src/gateway/crashes.rs
@@ -19,71 +19,72 @@
     time::{self, Instant},
 };
 
-use super::{freshness::Freshness, knowledge::Knowledge, quarantine::Quarantine};
+use super::{freshness::Freshness, quarantine::Quarantine, routing_view::RoutingView};
 use crate::{connections::Connections, lock::lock, probing, suspects};
 
 /// Interval between two checks of servers whose fate is unknown.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Time after which an unknown fate stays unresolved: register entries lapse within 4 s,
 /// and it takes another second until that is read.
-const UNKNOWN_FOR: Duration = Duration::from_secs(10);
+const UNRESOLVED_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time after which a server that is still registered counts as running: the entry of a
 /// crashed one would have lapsed by then, and the register been read.
-const RUNS_ON_AFTER: Duration = Duration::from_secs(8);
+const STILL_RUNNING_AFTER: Duration = Duration::from_secs(8);
 /// Time within which a server that seems to have crashed may return as the same run, as
 /// after a network partition.
-const RETURNS_WITHIN: Duration = Duration::from_secs(60);
+const RECOVERY_WINDOW: Duration = Duration::from_secs(60);
 /// Age of the register beyond which it is no evidence about single servers, in ms.
-const FRESH_MS: u64 = 2_000;
+const MAX_FRESH_AGE_MS: u64 = 2_000;
 /// Maximum number of losses under observation; beyond it, the earliest are dropped
 /// unresolved.
-const MOST_WATCHED: usize = 1_024;
+const MAX_WATCHED: usize = 1_024;
 
 /// Determines the fate of servers whose connections were lost.
 #[derive(Debug)]
 pub(super) struct CrashDetector {
     log: Logger,
-    knowledge: Arc<Knowledge>,
+    view: Arc<RoutingView>,
     freshness: Arc<Freshness>,
     servers: Arc<Connections>,
     quarantine: Arc<Quarantine>,
-    watched: Mutex<Vec<Watched>>,
+    watched: Mutex<Vec<WatchedLoss>>,
     /// Notified when a loss is added.
-    has_watched: Notify,
+    loss_added: Notify,
 }
 
 /// The loss of a connection to a server.
 #[derive(Clone, Debug)]
-pub(super) struct LostServer {
+pub(super) struct LostConnection {
     /// The server's registration when its requests were sent.
     pub(super) server: ServerEntry,
     /// Requests that the connection carried.
     pub(super) requests: Vec<(RequestId, RequestDigest)>,
     /// Number of other requests of this instance that the server was running.
-    pub(super) others: u32,
+    pub(super) other_requests: u32,
 }
 
 /// A loss that has to be checked again.
 #[derive(Clone, Debug)]
-struct Watched {
-    lost: LostServer,
+struct WatchedLoss {
+    lost: LostConnection,
     since: Instant,
     /// Evidence that the server crashed; `None` while its fate is unknown.
     evidence: Option<Evidence>,
 }
 
-impl Watched {
+impl WatchedLoss {
     /// Returns whether a server that was judged crashed is still running, according to a
     /// fresh register.
-    fn runs_on(&self, registered: Registered) -> bool {
+    fn is_still_running(&self, registered: Registered) -> bool {
         let has_lapsed = self.evidence == Some(Evidence::Lapsed);
-        registered == Registered::Ready && (has_lapsed || self.since.elapsed() >= RUNS_ON_AFTER)
+        registered == Registered::Ready
+            && (has_lapsed || self.since.elapsed() >= STILL_RUNNING_AFTER)
     }
 }
 
 impl CrashDetector {
     pub(super) fn new(
-        knowledge: Arc<Knowledge>,
+        view: Arc<RoutingView>,
         freshness: Arc<Freshness>,
         servers: Arc<Connections>,
         quarantine: Arc<Quarantine>,
@@ -91,21 +92,21 @@
     ) -> Self {
         Self {
             log,
-            knowledge,
+            view,
             freshness,
             servers,
             quarantine,
             watched: Mutex::default(),
-            has_watched: Notify::new(),
+            loss_added: Notify::new(),
         }
     }
 
     /// Determines the fate of a server, and reports it to the other instances if it
     /// crashed. Checks that would keep callers waiting too long run later.
-    pub(super) async fn on_lost(&self, lost: LostServer) -> Fate {
+    pub(super) async fn on_connection_lost(&self, lost: LostConnection) -> Fate {
         let probes = time::timeout(probing::PROBE_TIMEOUT, self.probe(&lost.server)).await;
         let (probe, neighbour) = probes.unwrap_or((Probe::Unknown, Probe::Unknown));
-        let registered = self.knowledge.directory().registered(&lost.server);
+        let registered = self.view.directory().registered(&lost.server);
         let fate = fate_at_loss(registered, probe, neighbour);
         info!(self.log, "connection to server lost"; "server" => %lost.server.id,
             "requests" => lost.requests.len(), "registered" => ?registered, "probe" => ?probe,
@@ -119,14 +120,14 @@
     }
 
     /// Schedules a later check of a server that stayed silent.
-    pub(super) fn on_silent(&self, lost: LostServer) {
+    pub(super) fn on_silent(&self, lost: LostConnection) {
         self.watch(lost, None);
     }
 
-    async fn on_ended(&self, lost: LostServer, evidence: Evidence) {
-        let others = lost.others + lost.requests.len().saturating_sub(1) as u32;
+    async fn on_ended(&self, lost: LostConnection, evidence: Evidence) {
+        let others = lost.other_requests + lost.requests.len().saturating_sub(1) as u32;
         for (request, digest) in &lost.requests {
-            let ends = self.quarantine.on_end(CrashReport {
+            let crash_count = self.quarantine.on_crash(CrashReport {
                 digest: *digest,
                 server: lost.server.id.clone(),
                 evidence,
@@ -136,25 +137,25 @@
             warn!(self.log, "server crashed under request"; "request" => %request,
                 "digest" => %digest, "server" => %lost.server.registered_as,
                 "started_ms" => lost.server.started_ms, "service" => %lost.server.service,
-                "others" => others, "evidence" => evidence.as_str(), "ends" => ends);
+                "others" => others, "evidence" => evidence.as_str(), "ends" => crash_count);
         }
         suspects::count_end(evidence);
         self.watch(lost, Some(evidence));
         self.quarantine.report().await;
     }
 
-    fn watch(&self, lost: LostServer, evidence: Option<Evidence>) {
-        self.watch_again(Watched {
+    fn watch(&self, lost: LostConnection, evidence: Option<Evidence>) {
+        self.add_watched(WatchedLoss {
             lost,
             since: Instant::now(),
             evidence,
         });
-        self.has_watched.notify_one();
+        self.loss_added.notify_one();
     }
 
-    fn watch_again(&self, watched: Watched) {
+    fn add_watched(&self, watched: WatchedLoss) {
         let mut all = self.watched();
-        if all.len() >= MOST_WATCHED {
+        if all.len() >= MAX_WATCHED {
             all.remove(0);
         }
         all.push(watched);
@@ -162,7 +163,7 @@
 
     async fn probe(&self, server: &ServerEntry) -> (Probe, Probe) {
         let neighbours = || {
-            let directory = self.knowledge.directory();
+            let directory = self.view.directory();
             let neighbours = directory.neighbours(server, probing::NEIGHBOURS);
             neighbours.into_iter().map(|other| other.addr).collect()
         };
@@ -170,49 +171,49 @@
     }
 
     /// Checks all watched losses once, concurrently.
-    async fn look(self: &Arc<Self>) {
+    async fn check_all(self: &Arc<Self>) {
         let watched = std::mem::take(&mut *self.watched());
-        let mut looks = JoinSet::new();
+        let mut checks = JoinSet::new();
         for item in watched {
-            let ends = Arc::clone(self);
-            looks.spawn(async move { ends.look_at(item).await });
+            let crash_detector = Arc::clone(self);
+            checks.spawn(async move { crash_detector.check(item).await });
         }
-        while looks.join_next().await.is_some() {}
+        while checks.join_next().await.is_some() {}
     }
 
-    async fn look_at(&self, item: Watched) {
-        let registered = self.knowledge.directory().registered(&item.lost.server);
+    async fn check(&self, item: WatchedLoss) {
+        let registered = self.view.directory().registered(&item.lost.server);
         if item.evidence.is_some() {
-            let is_fresh = self.freshness.servers_age_ms() < FRESH_MS;
-            if is_fresh && item.runs_on(registered) {
+            let is_fresh = self.freshness.servers_age_ms() < MAX_FRESH_AGE_MS;
+            if is_fresh && item.is_still_running(registered) {
                 for (_, digest) in &item.lost.requests {
                     self.quarantine.on_running(*digest, &item.lost.server.id);
                 }
-            } else if item.since.elapsed() < RETURNS_WITHIN {
-                self.watch_again(item);
+            } else if item.since.elapsed() < RECOVERY_WINDOW {
+                self.add_watched(item);
             }
             return;
         }
         let (probe, neighbour) = self.probe(&item.lost.server).await;
         match fate_later(registered, probe, neighbour) {
             Fate::Ended(evidence) => self.on_ended(item.lost, evidence).await,
-            Fate::Unknown if item.since.elapsed() < UNKNOWN_FOR => self.watch_again(item),
+            Fate::Unknown if item.since.elapsed() < UNRESOLVED_TIMEOUT => self.add_watched(item),
             Fate::Unknown | Fate::NotToBlame => {}
         }
     }
 
-    fn watched(&self) -> MutexGuard<'_, Vec<Watched>> {
+    fn watched(&self) -> MutexGuard<'_, Vec<WatchedLoss>> {
         lock(&self.watched)
     }
 }
 
 /// Checks servers whose connections were lost until their fate is known.
-pub(super) async fn watch(ends: Arc<CrashDetector>) {
+pub(super) async fn watch(crash_detector: Arc<CrashDetector>) {
     loop {
-        if ends.watched().is_empty() {
-            ends.has_watched.notified().await;
+        if crash_detector.watched().is_empty() {
+            crash_detector.loss_added.notified().await;
         }
-        time::sleep(LOOK_INTERVAL).await;
-        ends.look().await;
+        time::sleep(CHECK_INTERVAL).await;
+        crash_detector.check_all().await;
     }
 }
--- a/crates/server/src/gateway/dispatch.rs
+++ b/crates/server/src/gateway/dispatch.rs
@@ -22,7 +22,8 @@
 };
 
 use super::{
-    calls::StageCalls, knowledge::Knowledge, limits::LimitSharing, quarantine::Quarantine,
+    limits::LimitSharing, quarantine::Quarantine, routing_view::RoutingView,
+    stage_calls::StageClient,
 };
 use crate::{clock::Clock, lock::lock};
 
@@ -32,32 +33,32 @@
 /// an instance is detected within 1.5 s.
 const SHARE_INTERVAL: Duration = Duration::from_millis(500);
 /// Longest time between two polls of the scheduler.
-const LONGEST_SLEEP: Duration = Duration::from_secs(1);
+const MAX_SLEEP: Duration = Duration::from_secs(1);
 
 /// The stage scheduler of this instance.
 #[derive(Debug)]
 pub(super) struct Dispatch {
     log: Logger,
     clock: Clock,
-    knowledge: Arc<Knowledge>,
-    calls: StageCalls,
+    view: Arc<RoutingView>,
+    calls: StageClient,
     quarantine: Arc<Quarantine>,
     limits: Arc<LimitSharing>,
     scheduler: Mutex<StageScheduler>,
     waiters: Mutex<HashMap<RequestKey, oneshot::Sender<StageOutcome>>>,
-    unneeded: Mutex<HashMap<BackendName, (SocketAddr, Vec<String>)>>,
+    unneeded_results: Mutex<HashMap<BackendName, (SocketAddr, Vec<String>)>>,
     /// Notified when the scheduler may have to be polled earlier.
-    changed: Notify,
+    poll_needed: Notify,
 }
 
 /// Cancels the stages of a request when dropped before they end.
-struct Submitted<'a> {
+struct CancelOnDrop<'a> {
     dispatch: &'a Dispatch,
     key: &'a RequestKey,
     has_ended: bool,
 }
 
-impl Drop for Submitted<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
         if !self.has_ended {
             self.dispatch.cancel(self.key);
@@ -68,8 +69,8 @@
 impl Dispatch {
     pub(super) fn new(
         clock: Clock,
-        knowledge: Arc<Knowledge>,
-        calls: StageCalls,
+        view: Arc<RoutingView>,
+        calls: StageClient,
         quarantine: Arc<Quarantine>,
         limits: Arc<LimitSharing>,
         log: Logger,
@@ -77,14 +78,14 @@
         Arc::new(Self {
             log,
             clock,
-            knowledge,
+            view,
             calls,
             quarantine,
             limits,
             scheduler: Mutex::default(),
             waiters: Mutex::default(),
-            unneeded: Mutex::default(),
-            changed: Notify::new(),
+            unneeded_results: Mutex::default(),
+            poll_needed: Notify::new(),
         })
     }
 
@@ -94,21 +95,21 @@
         if let Standing::Quarantined { .. } = self.quarantine.standing(&submission.digest) {
             return StageOutcome::ends_servers();
         }
-        let ends = self.quarantine.ends(&submission.digest);
+        let ends = self.quarantine.crash_count(&submission.digest);
         submission.ends = submission.ends.max(ends);
         let began = Instant::now();
         let (key, request) = (submission.key.clone(), submission.request.clone());
         let (sender, receiver) = oneshot::channel();
         self.waiters().insert(key.clone(), sender);
-        let mut submitted = Submitted {
+        let mut guard = CancelOnDrop {
             dispatch: self,
             key: &key,
             has_ended: false,
         };
         self.scheduler().submit(self.clock.now_ms(), submission);
-        self.carry_out();
+        self.execute_actions();
         let outcome = receiver.await;
-        submitted.has_ended = true;
+        guard.has_ended = true;
         let outcome = outcome.unwrap_or(StageOutcome::Refused {
             reason: Refusal::Failed,
             retry_after_ms: 0,
@@ -144,7 +145,7 @@
     /// Releases the results of a request, which are no longer needed.
     pub(super) fn release(self: &Arc<Self>, key: &RequestKey) {
         self.scheduler().release(key);
-        self.carry_out();
+        self.execute_actions();
     }
 
     /// Hands all unfinished requests over to the instance that is the scheduler now.
@@ -156,17 +157,17 @@
         info!(self.log, "stages handed over"; "to" => to.map(ToString::to_string),
             "requests" => requests, "pieces_waiting" => waiting, "calls" => calls);
         self.scheduler().hand_over(self.clock.now_ms(), to);
-        self.carry_out();
+        self.execute_actions();
     }
 
     fn cancel(&self, key: &RequestKey) {
         self.waiters().remove(key);
         self.scheduler().cancel(key);
-        self.changed.notify_one();
+        self.poll_needed.notify_one();
     }
 
     /// Executes the scheduler's pending actions.
-    fn carry_out(self: &Arc<Self>) {
+    fn execute_actions(self: &Arc<Self>) {
         let actions = self.scheduler().poll(self.clock.now_ms());
         for action in actions {
             match action {
@@ -178,7 +179,7 @@
                     server,
                     addr,
                     handles,
-                } => self.free_soon(server, addr, handles),
+                } => self.schedule_free(server, addr, handles),
                 StageAction::Probe { server, addr } => {
                     let dispatch = Arc::clone(self);
                     tokio::spawn(async move { dispatch.probe(&server, addr).await });
@@ -190,15 +191,15 @@
                 }
             }
         }
-        self.changed.notify_one();
+        self.poll_needed.notify_one();
     }
 
     /// Reports an unreachable server to the scheduler once it accepts connections again,
     /// so that no piece has to probe it.
     async fn probe(self: Arc<Self>, server: &BackendName, addr: SocketAddr) {
-        if self.calls.reach(server, addr).await {
+        if self.calls.wait_until_reachable(server, addr).await {
             self.scheduler().on_reachable(server);
-            self.carry_out();
+            self.execute_actions();
         }
     }
 
@@ -206,19 +207,24 @@
         let end = self.calls.run(&call).await;
         self.scheduler()
             .on_call_ended(self.clock.now_ms(), call.id, &end);
-        self.carry_out();
+        self.execute_actions();
     }
 
     /// Frees results at a server after `FREE_DELAY`, together with those added until
     /// then.
-    fn free_soon(self: &Arc<Self>, server: BackendName, addr: SocketAddr, handles: Vec<String>) {
+    fn schedule_free(
+        self: &Arc<Self>,
+        server: BackendName,
+        addr: SocketAddr,
+        handles: Vec<String>,
+    ) {
         {
-            let mut unneeded = lock(&self.unneeded);
-            if let Some((_, gathered)) = unneeded.get_mut(&server) {
-                gathered.extend(handles);
+            let mut unneeded_results = lock(&self.unneeded_results);
+            if let Some((_, batched)) = unneeded_results.get_mut(&server) {
+                batched.extend(handles);
                 return;
             }
-            unneeded.insert(server.clone(), (addr, handles));
+            unneeded_results.insert(server.clone(), (addr, handles));
         }
         let dispatch = Arc::clone(self);
         tokio::spawn(async move {
@@ -228,16 +234,16 @@
     }
 
     async fn free(self: &Arc<Self>, server: &BackendName) {
-        let gathered = {
-            let mut unneeded = lock(&self.unneeded);
-            unneeded.remove(server)
+        let batched = {
+            let mut unneeded_results = lock(&self.unneeded_results);
+            unneeded_results.remove(server)
         };
-        let Some((addr, handles)) = gathered else {
+        let Some((addr, handles)) = batched else {
             return;
         };
         if self.calls.free(server, addr, &handles).await {
             self.scheduler().on_freed(server, &handles);
-            self.carry_out();
+            self.execute_actions();
         }
     }
 
@@ -255,29 +261,29 @@
     loop {
         let now_ms = dispatch.clock.now_ms();
         let due = dispatch.scheduler().next_poll_ms(now_ms);
-        let latest = Instant::now() + LONGEST_SLEEP;
+        let latest = Instant::now() + MAX_SLEEP;
         let wake = due.map_or(latest, |due_ms| dispatch.clock.instant(due_ms).min(latest));
         tokio::select! {
-            () = time::sleep_until(wake) => dispatch.carry_out(),
-            () = dispatch.changed.notified() => {}
+            () = time::sleep_until(wake) => dispatch.execute_actions(),
+            () = dispatch.poll_needed.notified() => {}
         }
     }
 }
 
 /// Keeps the scheduler's copy of the rate limits up to date, and this instance's share of
 /// them.
-pub(super) async fn follow_limits(dispatch: Arc<Dispatch>) {
+pub(super) async fn sync_limits(dispatch: Arc<Dispatch>) {
     loop {
         let share = dispatch.limits.share();
         let limited = {
-            let mut fleet = dispatch.knowledge.fleet();
+            let mut fleet = dispatch.view.fleet();
             let limits = fleet.limits();
             let limit_per_s = |server: &_| limits.limit_per_s(server);
             dispatch.scheduler().set_limits(limit_per_s, share);
             limits.count()
         };
         tokio::select! {
-            () = dispatch.knowledge.limits_changed() => {}
+            () = dispatch.view.limits_changed() => {}
             () = time::sleep(SHARE_INTERVAL), if limited > 0 => {}
         }
     }
@@ -285,11 +291,11 @@
 
 /// Keeps the scheduler's copy of the servers up to date, and closes pooled connections to
 /// runs that are gone: another run may have their address.
-pub(super) async fn configure(dispatch: Arc<Dispatch>) {
+pub(super) async fn sync_servers(dispatch: Arc<Dispatch>) {
     let mut addrs: HashMap<BackendName, SocketAddr> = HashMap::new();
     loop {
-        if let Some(table) = dispatch.knowledge.table() {
-            let directory = dispatch.knowledge.directory();
+        if let Some(table) = dispatch.view.table() {
+            let directory = dispatch.view.directory();
             let evacuated = directory.evacuated();
             dispatch
                 .scheduler()
@@ -300,11 +306,11 @@
             drop(directory);
             for (run, addr) in before {
                 if addrs.get(&run) != Some(&addr) {
-                    dispatch.calls.forget(addr);
+                    dispatch.calls.close_connections(addr);
                 }
             }
         }
-        dispatch.carry_out();
-        dispatch.knowledge.changed().await;
+        dispatch.execute_actions();
+        dispatch.view.changed().await;
     }
 }
--- a/crates/server/src/gateway/sending.rs
+++ b/crates/server/src/gateway/failover.rs
@@ -11,18 +11,18 @@
 use tokio::time::{self, Instant};
 
 use super::{
-    answers::Why,
-    attempt::Sent,
+    attempt::SendOutcome,
     forward::{Forwarder, Inputs},
-    quarantine::HeldPermit,
+    local_reply::FailureReason,
+    quarantine::PermitGuard,
     relay,
     request::CallerRequest,
-    stages::Held,
+    stage_submission::ResultsGuard,
 };
 use crate::http_body::{self, Body};
 
 /// Maximum number of servers that a request is tried at.
-const MOST_UNREACHED: usize = 4;
+const MAX_TRIED_SERVERS: usize = 4;
 
 impl Forwarder {
     /// Sends a request to servers until there is a response to return.
@@ -30,50 +30,50 @@
         self: &Arc<Self>,
         caller: CallerRequest,
         mut inputs: Inputs,
-        mut permit: Option<HeldPermit>,
-    ) -> Result<Response<Body>, Why> {
-        self.knowledge.budgets().on_request(&caller.service);
+        mut permit: Option<PermitGuard>,
+    ) -> Result<Response<Body>, FailureReason> {
+        self.view.budgets().on_request(&caller.service);
         let mut tried: Vec<BackendName> = Vec::new();
         let mut sends = 0;
         let mut may_have_run = false;
         loop {
-            if let Err(why) = self.admit(&caller, &mut permit).await {
-                return Err(match why {
-                    Why::EndsServers(_) => why,
+            if let Err(reason) = self.check_quarantine(&caller, &mut permit).await {
+                return Err(match reason {
+                    FailureReason::EndsServers(_) => reason,
                     // A request that is rejected now may have run at a server before.
-                    _ if may_have_run => Why::Lost,
-                    _ => why,
+                    _ if may_have_run => FailureReason::Lost,
+                    _ => reason,
                 });
             }
             let chosen = self.choose_granted(&caller, &inputs, &tried, permit.as_ref());
             let server = match chosen.await {
                 Ok(server) => server,
-                Err(_) if may_have_run => return Err(Why::Lost),
-                Err(why) => return Err(why),
+                Err(_) if may_have_run => return Err(FailureReason::Lost),
+                Err(reason) => return Err(reason),
             };
             if !may_have_run {
-                self.time_to_wait(&caller, self.answer_time(&caller))?;
+                self.wait_budget(&caller, self.usual_response_time(&caller))?;
             }
             tried.push(server.clone());
-            let may_move_on = caller.repeats() == Repeats::Allowed
+            let may_fail_over = caller.repeats() == Repeats::Allowed
                 && sends + 1 < caller.route().max_servers
-                && tried.len() < MOST_UNREACHED;
-            let held = inputs.held.take();
-            let sending = self.send_to(&caller, &inputs, &tried, &server, may_move_on);
-            let (sent, held) = tokio::select! {
-                sent = self.while_fetched(&caller.service, held, sending) => sent,
-                () = self.departure.nears(Duration::ZERO) => return Err(Why::Overdue),
+                && tried.len() < MAX_TRIED_SERVERS;
+            let guard = inputs.guard.take();
+            let sending = self.send_to(&caller, &inputs, &tried, &server, may_fail_over);
+            let (sent, guard) = tokio::select! {
+                sent = self.release_once_fetched(&caller.service, guard, sending) => sent,
+                () = self.shutdown.wait_until_within(Duration::ZERO) => return Err(FailureReason::Overdue),
             };
-            inputs.held = held;
-            let sent = sent.ok_or(Why::Overdue)?;
-            let were_let_go = inputs.are_gone();
-            self.note_fetched(&caller.service, were_let_go, &sent);
+            inputs.guard = guard;
+            let sent = sent.ok_or(FailureReason::Overdue)?;
+            let were_released = inputs.are_released();
+            self.record_fetch(&caller.service, were_released, &sent);
             let (end, failure) = match sent {
-                Sent::Whole(response) => {
+                SendOutcome::Complete(response) => {
                     self.log_answered(&caller, &server, response.status(), sends + 1);
                     return Ok(response.map(http_body::full));
                 }
-                Sent::Stream(stream) => {
+                SendOutcome::Stream(stream) => {
                     return Ok(relay::start(
                         Arc::clone(self),
                         caller,
@@ -83,7 +83,7 @@
                         permit,
                     ));
                 }
-                Sent::Ended(end, failure) => (end, failure),
+                SendOutcome::Ended(end, failure) => (end, failure),
             };
             may_have_run |= matches!(
                 end,
@@ -91,27 +91,27 @@
             );
             sends += u32::from(end.counts());
             let has_server = || {
-                let found = self.find(&caller, &inputs, &tried, permit.as_ref());
+                let found = self.find_server(&caller, &inputs, &tried, permit.as_ref());
                 found.0.is_some()
             };
             // If an input is gone, the same servers can be used once it is computed
             // again.
             let has_room = sends < caller.route().max_servers
-                && tried.len() < MOST_UNREACHED
-                && !caller.left().is_zero()
+                && tried.len() < MAX_TRIED_SERVERS
+                && !caller.time_left().is_zero()
                 && (end == AttemptEnd::InputsGone || has_server());
-            let spend = || self.knowledge.budgets().try_spend(&caller.service);
+            let spend = || self.view.budgets().try_spend(&caller.service);
             let next = next_step(end, caller.repeats(), may_have_run, has_room, spend);
             info!(self.log, "send ended"; "request" => %caller.id, "server" => %server,
                 "end" => ?end, "next" => ?next, "sends" => sends,
                 "elapsed_ms" => caller.elapsed_ms());
             match (next, failure) {
-                (NextStep::SendAgain, _) if end == AttemptEnd::InputsGone || were_let_go => {
+                (NextStep::SendAgain, _) if end == AttemptEnd::InputsGone || were_released => {
                     inputs = match self.run_stages(&caller).await {
                         Ok(inputs) => inputs,
                         // A request that is rejected now may have run at a server before.
-                        Err(_) if may_have_run => return Err(Why::Lost),
-                        Err(why) => return Err(why),
+                        Err(_) if may_have_run => return Err(FailureReason::Lost),
+                        Err(reason) => return Err(reason),
                     };
                     if end == AttemptEnd::InputsGone {
                         tried.clear();
@@ -119,51 +119,51 @@
                 }
                 (NextStep::SendAgain, _) => {}
                 (NextStep::Give(Giving::Refusal), _) => {
-                    return Err(self.why_no_server(&caller).await);
+                    return Err(self.no_server_reason(&caller).await);
                 }
                 (NextStep::Give(Giving::ServersFailure), Some(response)) => {
                     self.log_answered(&caller, &server, response.status(), sends);
                     return Ok(response.map(http_body::full));
                 }
-                (NextStep::Give(_), _) => return Err(Why::Lost),
+                (NextStep::Give(_), _) => return Err(FailureReason::Lost),
             }
         }
     }
 
     /// Releases results once an engine of `service` has had time to fetch them while
     /// `sending` continues; returns them if it ends first.
-    async fn while_fetched(
+    async fn release_once_fetched(
         &self,
         service: &PoolName,
-        mut held: Option<Held>,
-        sending: impl Future<Output = Option<Sent>>,
-    ) -> (Option<Sent>, Option<Held>) {
-        let within_ms = self.knowledge.fetch_times().within_ms(service);
+        mut guard: Option<ResultsGuard>,
+        sending: impl Future<Output = Option<SendOutcome>>,
+    ) -> (Option<SendOutcome>, Option<ResultsGuard>) {
+        let within_ms = self.view.fetch_times().within_ms(service);
         let fetched = time::sleep(Duration::from_millis(within_ms));
         tokio::pin!(fetched, sending);
         loop {
             tokio::select! {
                 biased;
-                sent = &mut sending => return (sent, held),
-                () = &mut fetched, if held.is_some() => held = None,
+                sent = &mut sending => return (sent, guard),
+                () = &mut fetched, if guard.is_some() => guard = None,
             }
         }
     }
 
     /// Records for the service's fetch times whether the results were released too early
     /// for this send.
-    fn note_fetched(&self, service: &PoolName, were_let_go: bool, sent: &Sent) {
-        if !were_let_go {
+    fn record_fetch(&self, service: &PoolName, were_released: bool, sent: &SendOutcome) {
+        if !were_released {
             return;
         }
         match sent {
-            Sent::Whole(_) | Sent::Stream(_) => {
-                self.knowledge.fetch_times().on_fetched(service);
+            SendOutcome::Complete(_) | SendOutcome::Stream(_) => {
+                self.view.fetch_times().on_fetched(service);
             }
-            Sent::Ended(AttemptEnd::InputsGone, _) => {
-                self.knowledge.fetch_times().on_missed(service);
+            SendOutcome::Ended(AttemptEnd::InputsGone, _) => {
+                self.view.fetch_times().on_missed(service);
             }
-            Sent::Ended(..) => {}
+            SendOutcome::Ended(..) => {}
         }
     }
 
@@ -175,20 +175,20 @@
         inputs: &Inputs,
         tried: &[BackendName],
         server: &BackendName,
-        may_move_on: bool,
-    ) -> Option<Sent> {
-        let silence = Duration::from_millis(answer_timeout_ms(caller.route().goal_ms));
+        may_fail_over: bool,
+    ) -> Option<SendOutcome> {
+        let silence_timeout = Duration::from_millis(answer_timeout_ms(caller.route().goal_ms));
         let mut sent = Box::pin(self.send_once(caller, inputs, server, None));
-        if may_move_on {
-            let until = (Instant::now() + silence).min(caller.deadline);
+        if may_fail_over {
+            let until = (Instant::now() + silence_timeout).min(caller.deadline);
             if let Ok(sent) = time::timeout_at(until, &mut sent).await {
                 return Some(sent);
             }
-            if self.may_repeat_elsewhere(caller, inputs, tried) {
+            if self.try_repeat_elsewhere(caller, inputs, tried) {
                 // Closes the connection, so that the server cancels the request.
                 drop(sent);
-                self.give_up(caller, server, silence);
-                return Some(Sent::Ended(AttemptEnd::Silent, None));
+                self.on_server_abandoned(caller, server, silence_timeout);
+                return Some(SendOutcome::Ended(AttemptEnd::Silent, None));
             }
         }
         time::timeout_at(caller.deadline, sent).await.ok()
@@ -196,29 +196,34 @@
 
     /// Returns whether another server can take a request and the retry budget allows it;
     /// takes a retry from the budget if so.
-    pub(super) fn may_repeat_elsewhere(
+    pub(super) fn try_repeat_elsewhere(
         &self,
         caller: &CallerRequest,
         inputs: &Inputs,
         tried: &[BackendName],
     ) -> bool {
-        !caller.left().is_zero()
-            && self.find(caller, inputs, tried, None).0.is_some()
-            && self.knowledge.budgets().try_spend(&caller.service)
+        !caller.time_left().is_zero()
+            && self.find_server(caller, inputs, tried, None).0.is_some()
+            && self.view.budgets().try_spend(&caller.service)
     }
 
     /// Records that a server was abandoned because it stayed silent.
-    pub(super) fn give_up(&self, caller: &CallerRequest, server: &BackendName, waited: Duration) {
+    pub(super) fn on_server_abandoned(
+        &self,
+        caller: &CallerRequest,
+        server: &BackendName,
+        waited: Duration,
+    ) {
         let now_ms = self.clock.now_ms();
-        self.knowledge.fleet().on_given_up(now_ms, server);
-        let entry = self.knowledge.directory().entry(server).cloned();
+        self.view.fleet().on_given_up(now_ms, server);
+        let entry = self.view.directory().entry(server).cloned();
         if let Some(entry) = entry {
             // Other pooled connections to it may be dead too.
             self.servers.forget(entry.addr);
-            let lost = self.lost(caller, entry);
-            self.ends.on_silent(lost);
+            let lost = self.lost_connection(caller, entry);
+            self.crash_detector.on_silent(lost);
         }
-        info!(self.log, "silent server given up"; "request" => %caller.id, "server" => %server,
+        info!(self.log, "silent server abandoned"; "request" => %caller.id, "server" => %server,
             "waited_ms" => waited.as_millis() as u64, "elapsed_ms" => caller.elapsed_ms());
     }
 }
--- a/crates/server/src/gateway/forward.rs
+++ b/crates/server/src/gateway/forward.rs
@@ -15,15 +15,15 @@
 use tokio::time::Instant;
 
 use super::{
-    answers::{self, Why},
     crashes::CrashDetector,
-    departure::Departure,
-    knowledge::Knowledge,
     limits::LimitSharing,
+    local_reply::{self, FailureReason},
     members::Members,
-    quarantine::{HeldPermit, Quarantine},
-    request::{CallerRequest, host, service},
-    stages::{Held, Stages},
+    quarantine::{PermitGuard, Quarantine},
+    request::{CallerRequest, choose_service, request_host},
+    routing_view::RoutingView,
+    shutdown::ShutdownDeadline,
+    stage_submission::{ResultsGuard, StageSubmitter},
 };
 use crate::{
     clock::Clock,
@@ -46,11 +46,11 @@
 pub(super) struct Forwarder {
     pub(super) log: Logger,
     pub(super) clock: Clock,
-    pub(super) knowledge: Arc<Knowledge>,
+    pub(super) view: Arc<RoutingView>,
     pub(super) servers: Arc<Connections>,
-    pub(super) stages: Arc<Stages>,
-    pub(super) departure: Arc<Departure>,
-    pub(super) ends: Arc<CrashDetector>,
+    pub(super) stages: Arc<StageSubmitter>,
+    pub(super) shutdown: Arc<ShutdownDeadline>,
+    pub(super) crash_detector: Arc<CrashDetector>,
     pub(super) quarantine: Arc<Quarantine>,
     pub(super) members: Arc<Members>,
     pub(super) limits: Arc<LimitSharing>,
@@ -61,75 +61,79 @@
 pub(super) struct Inputs {
     pub(super) handles: Vec<String>,
     /// Size of the results in each availability zone, in bytes.
-    pub(super) by_zone: Vec<(ZoneName, u64)>,
+    pub(super) bytes_by_zone: Vec<(ZoneName, u64)>,
     /// Releases the results when dropped.
-    pub(super) held: Option<Held>,
+    pub(super) guard: Option<ResultsGuard>,
 }
 
 impl Inputs {
     /// Returns whether there were results that have been released.
-    pub(super) fn are_gone(&self) -> bool {
-        self.held.is_none() && !self.handles.is_empty()
+    pub(super) fn are_released(&self) -> bool {
+        self.guard.is_none() && !self.handles.is_empty()
     }
 }
 
 impl Forwarder {
     /// Responds to a caller's request.
-    pub(super) async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
+    pub(super) async fn respond(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         let arrived = Instant::now();
         let head = request::decode(request.headers());
         let id = head.id.clone();
-        let caller = match self.take(request, head, arrived).await {
+        let caller = match self.read_request(request, head, arrived).await {
             Ok(caller) => caller,
-            Err(why) => {
-                self.log_own(id.as_ref(), None, why, arrived);
-                return answers::own(id.as_ref(), why);
+            Err(reason) => {
+                self.log_failure(id.as_ref(), None, reason, arrived);
+                return local_reply::build(id.as_ref(), reason);
             }
         };
         let route = Arc::clone(&caller.matched.route);
         match self.run(caller).await {
             Ok(response) => response,
-            Err(why) => {
-                self.log_own(id.as_ref(), Some(&route), why, arrived);
-                answers::own(id.as_ref(), why)
+            Err(reason) => {
+                self.log_failure(id.as_ref(), Some(&route), reason, arrived);
+                local_reply::build(id.as_ref(), reason)
             }
         }
     }
 
-    async fn run(self: &Arc<Self>, caller: CallerRequest) -> Result<Response<Body>, Why> {
+    async fn run(self: &Arc<Self>, caller: CallerRequest) -> Result<Response<Body>, FailureReason> {
         let mut permit = None;
-        self.admit(&caller, &mut permit).await?;
-        self.ask_admission(&caller).await?;
+        self.check_quarantine(&caller, &mut permit).await?;
+        self.request_admission(&caller).await?;
         let inputs = self.run_stages(&caller).await?;
         self.send(caller, inputs, permit).await
     }
 
     /// Finds the route of a request and reads its body.
-    async fn take(
+    async fn read_request(
         &self,
         request: Request<Incoming>,
         head: RequestHead,
         arrived: Instant,
-    ) -> Result<CallerRequest, Why> {
-        let table = self.knowledge.table().ok_or(Why::Starting)?;
-        let matched = table.find(host(&request), request.uri().path(), head.key.as_deref())?;
-        let service = service(&matched.route, &head).ok_or(Why::NoServer)?;
+    ) -> Result<CallerRequest, FailureReason> {
+        let table = self.view.table().ok_or(FailureReason::Starting)?;
+        let matched = table.find(
+            request_host(&request),
+            request.uri().path(),
+            head.key.as_deref(),
+        )?;
+        let service = choose_service(&matched.route, &head).ok_or(FailureReason::NoServer)?;
         let limits = table.config().limits;
         let path = request.uri().path_and_query().cloned();
         let path = path.unwrap_or_else(|| PathAndQuery::from_static("/"));
         let mut digest = DigestBuilder::new(
             matched.workspace.as_ref(),
             request.method().as_str(),
-            host(&request),
+            request_host(&request),
             path.as_str(),
         );
         let (parts, body) = request.into_parts();
         let on_part = |part: &[u8]| digest.update(part);
         let body = http_body::read_with(body, limits.body_bytes, BODY_TIMEOUT, on_part).await?;
-        let callers = head
+        let caller_timeout = head
             .deadline_ms
             .map_or(DEFAULT_DEADLINE, Duration::from_millis);
-        let routes = Duration::from_millis(matched.route.timeout_ms);
+        let route_timeout = Duration::from_millis(matched.route.timeout_ms);
         Ok(CallerRequest {
             id: head.id.clone().unwrap_or_else(|| RequestId::new("none")),
             head,
@@ -141,12 +145,12 @@
             matched,
             service,
             arrived,
-            deadline: arrived + callers.min(routes),
+            deadline: arrived + caller_timeout.min(route_timeout),
         })
     }
 
     /// Runs the stages that precede a request.
-    pub(super) async fn run_stages(&self, caller: &CallerRequest) -> Result<Inputs, Why> {
+    pub(super) async fn run_stages(&self, caller: &CallerRequest) -> Result<Inputs, FailureReason> {
         let route = caller.route();
         let stages: Vec<StageWork> = route
             .stages
@@ -162,8 +166,8 @@
         if stages.iter().all(|stage| stage.pieces == 0) {
             return Ok(Inputs::default());
         }
-        let answer_time = self.answer_time(caller);
-        let left_ms = self.time_to_wait(caller, answer_time)?.as_millis() as u64;
+        let usual_response_time = self.usual_response_time(caller);
+        let left_ms = self.wait_budget(caller, usual_response_time)?.as_millis() as u64;
         let elapsed_ms = caller.elapsed_ms();
         let submission = Submission {
             key: self.stages.next_key(),
@@ -174,43 +178,41 @@
             deadline_left_ms: left_ms,
             missing_ms: caller.head.deadline_ms.map_or(0, |deadline_ms| {
                 let now_ms = self.clock.now_ms();
-                self.knowledge.missing_ms(now_ms, &route.name, deadline_ms)
+                self.view.missing_ms(now_ms, &route.name, deadline_ms)
             }),
-            rest_ms: rest_ms(caller),
+            rest_ms: estimate_rest_ms(caller),
             priority: caller.matched.priority,
             home_zone: caller.prompt().and_then(|prompt| {
                 let now_ms = self.clock.now_ms();
-                self.knowledge
-                    .fleet()
-                    .home_zone(now_ms, &caller.service, prompt)
+                self.view.fleet().home_zone(now_ms, &caller.service, prompt)
             }),
             done: Vec::new(),
             digest: caller.digest,
-            ends: self.quarantine.ends(&caller.digest),
+            ends: self.quarantine.crash_count(&caller.digest),
         };
         let ended = tokio::select! {
             ended = self.stages.run(submission) => ended,
-            () = self.departure.nears(answer_time) => return Err(Why::Leaving),
+            () = self.shutdown.wait_until_within(usual_response_time) => return Err(FailureReason::Leaving),
         };
         match ended.outcome {
             StageOutcome::Ready(results) => {
-                let mut by_zone: BTreeMap<ZoneName, u64> = BTreeMap::new();
+                let mut bytes_by_zone: BTreeMap<ZoneName, u64> = BTreeMap::new();
                 for result in &results {
-                    *by_zone.entry(result.zone.clone()).or_default() += result.bytes;
+                    *bytes_by_zone.entry(result.zone.clone()).or_default() += result.bytes;
                 }
                 Ok(Inputs {
                     handles: results.into_iter().map(|result| result.handle).collect(),
-                    by_zone: by_zone.into_iter().collect(),
-                    held: ended.held,
+                    bytes_by_zone: bytes_by_zone.into_iter().collect(),
+                    guard: ended.guard,
                 })
             }
             // The runner of stages resubmits those that were handed over and never
             // returns this.
-            StageOutcome::Moved { .. } => Err(Why::Stages(Refusal::Failed, 0)),
+            StageOutcome::Moved { .. } => Err(FailureReason::StageSubmitter(Refusal::Failed, 0)),
             StageOutcome::Refused {
                 reason: Refusal::EndsServers,
                 ..
-            } => Err(self.learn_why(caller).await),
+            } => Err(self.query_quarantine_reason(caller).await),
             StageOutcome::Refused {
                 reason,
                 retry_after_ms,
@@ -219,66 +221,68 @@
                 info!(self.log, "stages refused"; "request" => %caller.id,
                     "route" => &route.name, "reason" => reason.as_str(),
                     "forecast_ms" => forecast_ms, "goal_ms" => route.goal_ms,
-                    "rest_ms" => rest_ms(caller), "elapsed_ms" => elapsed_ms);
-                Err(Why::Stages(reason, retry_after_ms))
+                    "rest_ms" => estimate_rest_ms(caller), "elapsed_ms" => elapsed_ms);
+                Err(FailureReason::StageSubmitter(reason, retry_after_ms))
             }
         }
     }
 
     /// Returns how long a response to a request of this route usually takes after the
     /// send.
-    pub(super) fn answer_time(&self, caller: &CallerRequest) -> Duration {
-        let usual_ms = self.knowledge.answer_times().usual_ms(&caller.route().name);
+    pub(super) fn usual_response_time(&self, caller: &CallerRequest) -> Duration {
+        let usual_ms = self.view.response_times().usual_ms(&caller.route().name);
         Duration::from_millis(usual_ms)
     }
 
     /// Returns how long a request may wait before it is sent: until its deadline or,
     /// while this instance shuts down, until `answer_time` before the final responses are
     /// due.
-    pub(super) fn time_to_wait(
+    pub(super) fn wait_budget(
         &self,
         caller: &CallerRequest,
-        answer_time: Duration,
-    ) -> Result<Duration, Why> {
-        let left = caller.left();
-        let Some(answers_by) = self.departure.answers_by() else {
+        usual_response_time: Duration,
+    ) -> Result<Duration, FailureReason> {
+        let left = caller.time_left();
+        let Some(respond_by) = self.shutdown.respond_by() else {
             return Ok(left);
         };
-        let send_by = answers_by.checked_sub(answer_time).unwrap_or(answers_by);
+        let send_by = respond_by
+            .checked_sub(usual_response_time)
+            .unwrap_or(respond_by);
         let leaves_in = send_by.saturating_duration_since(Instant::now());
         if leaves_in.is_zero() {
-            return Err(Why::Leaving);
+            return Err(FailureReason::Leaving);
         }
         Ok(left.min(leaves_in))
     }
 
     /// Chooses the server of the next send.
-    pub(super) fn choose(
+    pub(super) fn choose_server(
         &self,
         caller: &CallerRequest,
         inputs: &Inputs,
         tried: &[BackendName],
-        permit: Option<&HeldPermit>,
+        permit: Option<&PermitGuard>,
     ) -> Option<BackendName> {
-        let (server, chosen) = self.find(caller, inputs, tried, permit);
+        let (server, chosen) = self.find_server(caller, inputs, tried, permit);
         info!(self.log, "server chosen"; "request" => %caller.id, "service" => %caller.service,
             "server" => server.as_ref().map(ToString::to_string),
             "reason" => chosen.reason.as_str(), "considered" => chosen.considered,
-            "version" => self.knowledge.version(), "elapsed_ms" => caller.elapsed_ms());
+            "version" => self.view.version(), "elapsed_ms" => caller.elapsed_ms());
         server
     }
 
     /// Finds the server for a send, and the reason for the choice.
-    pub(super) fn find(
+    pub(super) fn find_server(
         &self,
         caller: &CallerRequest,
         inputs: &Inputs,
         tried: &[BackendName],
-        permit: Option<&HeldPermit>,
+        permit: Option<&PermitGuard>,
     ) -> (Option<BackendName>, Chosen) {
         let placement = placement(caller, inputs, tried, permit);
         let now_ms = self.clock.now_ms();
-        let chosen = self.knowledge.fleet().choose(now_ms, &placement);
+        let chosen = self.view.fleet().choose(now_ms, &placement);
         let untried = chosen.server.clone();
         (untried.filter(|server| !tried.contains(server)), chosen)
     }
@@ -299,13 +303,19 @@
         metrics::histogram!("savoryvane_forwarded_seconds").record(caller.arrived.elapsed());
     }
 
-    fn log_own(&self, id: Option<&RequestId>, route: Option<&Route>, why: Why, arrived: Instant) {
+    fn log_failure(
+        &self,
+        id: Option<&RequestId>,
+        route: Option<&Route>,
+        reason: FailureReason,
+        arrived: Instant,
+    ) {
         info!(self.log, "request refused"; "request" => id.map(ToString::to_string),
             "route" => route.map(|route| &route.name),
             "goal_ms" => route.map(|route| route.goal_ms),
-            "reason" => why.as_str(), "version" => self.knowledge.version(),
+            "reason" => reason.as_str(), "version" => self.view.version(),
             "elapsed_ms" => arrived.elapsed().as_millis() as u64);
-        metrics::counter!("savoryvane_forwarded_total", "outcome" => why.as_str()).increment(1);
+        metrics::counter!("savoryvane_forwarded_total", "outcome" => reason.as_str()).increment(1);
     }
 }
 
@@ -314,23 +324,23 @@
     caller: &'a CallerRequest,
     inputs: &'a Inputs,
     tried: &'a [BackendName],
-    permit: Option<&HeldPermit>,
+    permit: Option<&PermitGuard>,
 ) -> Placement<'a> {
     Placement {
         service: &caller.service,
         tried,
         is_repeatable: caller.repeats() == Repeats::Allowed,
         prompt: caller.prompt(),
-        inputs: &inputs.by_zone,
-        apart: permit.and_then(HeldPermit::place),
+        inputs: &inputs.bytes_by_zone,
+        apart: permit.and_then(PermitGuard::place),
     }
 }
 
 /// Estimates the time from the end of a request's stages to its first event.
-fn rest_ms(caller: &CallerRequest) -> u64 {
+fn estimate_rest_ms(caller: &CallerRequest) -> u64 {
     let tokens = caller.prompt().map_or(0, |prompt| {
-        let own = prompt.input_tokens.saturating_sub(prompt.shared_tokens());
-        u64::from(own)
+        let own_tokens = prompt.input_tokens.saturating_sub(prompt.shared_tokens());
+        u64::from(own_tokens)
     });
     FIRST_EVENT_MS + tokens / TOKENS_PER_MS
 }
--- a/crates/server/src/gateway/freshness.rs
+++ b/crates/server/src/gateway/freshness.rs
@@ -15,7 +15,7 @@
     servers_ms: AtomicU64,
     /// Latest time at which this instance had everything that a peer or the store knew,
     /// in ms.
-    told_ms: AtomicU64,
+    synced_ms: AtomicU64,
     /// Whether the scheduler reaches the store, as it last reported.
     scheduler_has_store: AtomicBool,
     /// Time of its last report that it does not, in ms.
@@ -29,7 +29,7 @@
             in_force,
             configuration_ms: AtomicU64::new(0),
             servers_ms: AtomicU64::new(0),
-            told_ms: AtomicU64::new(0),
+            synced_ms: AtomicU64::new(0),
             scheduler_has_store: AtomicBool::new(true),
             scheduler_lost_store_ms: AtomicU64::new(0),
         }
@@ -37,25 +37,25 @@
 
     /// Records that the configuration was current `age_ms` ago.
     pub(super) fn on_configuration(&self, age_ms: u64) {
-        self.note(&self.configuration_ms, age_ms);
+        self.record(&self.configuration_ms, age_ms);
     }
 
     /// Records that the servers were current `age_ms` ago.
     pub(super) fn on_servers(&self, age_ms: u64) {
-        self.note(&self.servers_ms, age_ms);
+        self.record(&self.servers_ms, age_ms);
     }
 
     /// Records that this instance has everything that a peer or the store knew, which was
     /// current `age_ms` ago.
-    pub(super) fn on_told(&self, age_ms: u64) {
-        self.note(&self.told_ms, age_ms);
+    pub(super) fn on_synced(&self, age_ms: u64) {
+        self.record(&self.synced_ms, age_ms);
     }
 
     /// Records whether the scheduler reaches the store.
-    pub(super) fn on_scheduler(&self, has_store: bool) {
+    pub(super) fn on_scheduler_state(&self, has_store: bool) {
         self.scheduler_has_store.store(has_store, Ordering::Relaxed);
         if !has_store {
-            self.note(&self.scheduler_lost_store_ms, 0);
+            self.record(&self.scheduler_lost_store_ms, 0);
         }
     }
 
@@ -81,14 +81,14 @@
 
     /// Returns whether `reader` need not read the store, since updates reach it from a
     /// peer.
-    pub(super) fn is_told(&self, reader: Reader) -> bool {
+    pub(super) fn skips_store(&self, reader: Reader) -> bool {
         let has_store = self.scheduler_has_store.load(Ordering::Relaxed);
-        self.age_ms(&self.told_ms) < reader.reads_from_ms(self.in_force, has_store)
+        self.age_ms(&self.synced_ms) < reader.reads_from_ms(self.in_force, has_store)
     }
 
     /// Returns whether `reader`, which reaches the store if `has_store`, queries the
     /// reserves for updates.
-    pub(super) fn wants_reserves(&self, reader: Reader, has_store: bool) -> bool {
+    pub(super) fn queries_reserves(&self, reader: Reader, has_store: bool) -> bool {
         let oldest_ms = self.configuration_age_ms().max(self.servers_age_ms());
         oldest_ms >= reader.queries_reserves_from_ms(self.in_force, has_store)
     }
@@ -100,7 +100,7 @@
         }
     }
 
-    fn note(&self, at: &AtomicU64, age_ms: u64) {
+    fn record(&self, at: &AtomicU64, age_ms: u64) {
         let at_ms = self.clock.now_ms().saturating_sub(age_ms).max(1);
         at.fetch_max(at_ms, Ordering::Relaxed);
     }
--- a/crates/server/src/gateway/granting.rs
+++ b/crates/server/src/gateway/grants.rs
@@ -8,9 +8,9 @@
 use slog::info;
 
 use super::{
-    answers::Why,
     forward::{Forwarder, Inputs, placement},
-    quarantine::HeldPermit,
+    local_reply::FailureReason,
+    quarantine::PermitGuard,
     request::CallerRequest,
 };
 
@@ -19,22 +19,27 @@
 impl Forwarder {
     /// Rejects a request before its stages run if all servers of its service have rate
     /// limits and none has capacity for it.
-    pub(super) async fn ask_admission(&self, caller: &CallerRequest) -> Result<(), Why> {
+    pub(super) async fn request_admission(
+        &self,
+        caller: &CallerRequest,
+    ) -> Result<(), FailureReason> {
         if caller.route().stages.is_empty() {
             return Ok(());
         }
         let now_ms = self.clock.now_ms();
         let servers = {
-            let fleet = self.knowledge.fleet();
+            let fleet = self.view.fleet();
             fleet.limits_of_all(now_ms, &caller.service)
         };
         if servers.is_empty() {
             return Ok(());
         }
-        let state = self.ask_grant(caller, GrantPurpose::Admission, servers);
+        let state = self.request_grant(caller, GrantPurpose::Admission, servers);
         match state.await {
             GrantState::Granted(_) => Ok(()),
-            GrantState::Closed { retry_after_ms, .. } => Err(Why::Limited(retry_after_ms)),
+            GrantState::Closed { retry_after_ms, .. } => {
+                Err(FailureReason::Limited(retry_after_ms))
+            }
         }
     }
 
@@ -44,36 +49,36 @@
         caller: &CallerRequest,
         inputs: &Inputs,
         tried: &[BackendName],
-        permit: Option<&HeldPermit>,
-    ) -> Result<BackendName, Why> {
+        permit: Option<&PermitGuard>,
+    ) -> Result<BackendName, FailureReason> {
         let placement = placement(caller, inputs, tried, permit);
-        let mut refusal = Why::NoServer;
+        let mut reason = FailureReason::NoServer;
         for query in 0..MAX_GRANT_QUERIES {
-            let Some(chosen) = self.choose(caller, inputs, tried, permit) else {
+            let Some(chosen) = self.choose_server(caller, inputs, tried, permit) else {
                 break;
             };
             let servers = self.grant_candidates(&placement, &chosen, query > 0);
             if servers.is_empty() {
                 return Ok(chosen);
             }
-            let asked = servers.iter().map(|(server, _)| server.clone());
-            let asked: Vec<BackendName> = asked.collect();
-            let state = self.ask_grant(caller, GrantPurpose::Send, servers);
+            let requested = servers.iter().map(|(server, _)| server.clone());
+            let requested: Vec<BackendName> = requested.collect();
+            let state = self.request_grant(caller, GrantPurpose::Send, servers);
             match state.await {
                 GrantState::Granted(server) => return Ok(server),
                 GrantState::Closed {
                     retry_in_ms,
                     retry_after_ms,
                 } => {
-                    self.knowledge.on_limits_closed(&asked, retry_in_ms);
-                    refusal = Why::Limited(retry_after_ms);
+                    self.view.on_limits_closed(&requested, retry_in_ms);
+                    reason = FailureReason::Limited(retry_after_ms);
                 }
             }
         }
-        if refusal == Why::NoServer {
-            refusal = self.why_no_server(caller).await;
+        if reason == FailureReason::NoServer {
+            reason = self.no_server_reason(caller).await;
         }
-        Err(refusal)
+        Err(reason)
     }
 
     /// Returns the servers to request a grant for; empty if `chosen` needs none.
@@ -81,22 +86,22 @@
         &self,
         placement: &Placement<'_>,
         chosen: &BackendName,
-        is_any_wanted: bool,
+        includes_all: bool,
     ) -> Vec<(BackendName, f64)> {
         let now_ms = self.clock.now_ms();
-        let mut fleet = self.knowledge.fleet();
+        let mut fleet = self.view.fleet();
         if fleet.limits().limit_per_s(chosen).is_none() {
             return Vec::new();
         }
-        fleet.grant_candidates(now_ms, placement, chosen, is_any_wanted)
+        fleet.grant_candidates(now_ms, placement, chosen, includes_all)
     }
 
     /// Returns why no server accepts a request, and when one will: after a backoff or, if
     /// all servers have rate limits, when the scheduler expects capacity.
-    pub(super) async fn why_no_server(&self, caller: &CallerRequest) -> Why {
+    pub(super) async fn no_server_reason(&self, caller: &CallerRequest) -> FailureReason {
         let now_ms = self.clock.now_ms();
         let (servers, return_after_ms) = {
-            let mut fleet = self.knowledge.fleet();
+            let mut fleet = self.view.fleet();
             let servers = fleet.limits_of_all(now_ms, &caller.service);
             (
                 servers,
@@ -104,25 +109,25 @@
             )
         };
         if let Some(retry_after_ms) = return_after_ms {
-            return Why::BackingOff(retry_after_ms);
+            return FailureReason::BackingOff(retry_after_ms);
         }
         if servers.is_empty() {
-            return Why::NoServer;
+            return FailureReason::NoServer;
         }
-        let state = self.ask_grant(caller, GrantPurpose::ReturnTime, servers);
+        let state = self.request_grant(caller, GrantPurpose::ReturnTime, servers);
         match state.await {
-            GrantState::Granted(_) => Why::NoServer,
-            GrantState::Closed { retry_after_ms, .. } => Why::Limited(retry_after_ms),
+            GrantState::Granted(_) => FailureReason::NoServer,
+            GrantState::Closed { retry_after_ms, .. } => FailureReason::Limited(retry_after_ms),
         }
     }
 
-    async fn ask_grant(
+    async fn request_grant(
         &self,
         caller: &CallerRequest,
         purpose: GrantPurpose,
         servers: Vec<(BackendName, f64)>,
     ) -> GrantState {
-        let asked = servers.len();
+        let requested = servers.len();
         let query = GrantQuery {
             service: caller.service.clone(),
             purpose,
@@ -137,8 +142,8 @@
                 retry_after_ms,
             } => (None, Some(*retry_in_ms), Some(*retry_after_ms)),
         };
-        info!(self.log, "grant asked"; "request" => %caller.id, "purpose" => purpose.as_str(),
-            "service" => %caller.service, "servers" => asked, "granted" => granted,
+        info!(self.log, "grant requested"; "request" => %caller.id, "purpose" => purpose.as_str(),
+            "service" => %caller.service, "servers" => requested, "granted" => granted,
             "retry_in_ms" => retry_in_ms, "retry_after_ms" => retry_after_ms,
             "elapsed_ms" => caller.elapsed_ms());
         let outcome = match state {
--- a/crates/server/src/gateway/ingress.rs
+++ b/crates/server/src/gateway/ingress.rs
@@ -40,7 +40,7 @@
 pub(super) fn callers(forwarder: Arc<Forwarder>) -> Service {
     BoxCloneSyncService::new(tower::service_fn(move |request| {
         let forwarder = Arc::clone(&forwarder);
-        async move { Ok::<_, Infallible>(forwarder.answer(request).await) }
+        async move { Ok::<_, Infallible>(forwarder.respond(request).await) }
     }))
 }
 
--- a/crates/server/src/gateway/instance.rs
+++ b/crates/server/src/gateway/instance.rs
@@ -12,26 +12,26 @@
 use tokio_util::task::TaskTracker;
 
 use super::{
-    calls::StageCalls,
     catch_up::{self, CatchUp},
     crashes::{self, CrashDetector},
-    departure::Departure,
     dispatch::{self, Dispatch},
-    follow::{self, StoreFollower},
     forward::Forwarder,
     freshness::Freshness,
     ingress::{self, Service},
-    keeping::Keeper,
-    knowledge::Knowledge,
     limits::LimitSharing,
     members::{self, Members},
-    peering::Peering,
+    peer_messages::PeerMessages,
     quarantine::Quarantine,
-    register,
-    scheduling::SchedulerWatch,
+    quarantine_store::QuarantineStore,
+    routing_view::RoutingView,
+    scheduler_watch::SchedulerWatch,
+    server_register,
     settings::{GatewayListen, GatewaySettings},
-    stages::Stages,
+    shutdown::ShutdownDeadline,
+    stage_calls::StageClient,
+    stage_submission::StageSubmitter,
     store::StoreClient,
+    store_follower::{self, StoreFollower},
 };
 use crate::{
     clock::Clock,
@@ -49,11 +49,11 @@
 /// that does not is replaced by another.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Maximum number of idle connections to one backend server.
-const MAX_IDLE: usize = 4;
+const MAX_IDLE_PER_SERVER: usize = 4;
 /// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Interval between two checks for idle connections to close.
-const UPKEEP_INTERVAL: Duration = Duration::from_secs(2);
+const PRUNE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// A running gateway instance.
 #[derive(Debug)]
@@ -61,7 +61,7 @@
     log: Logger,
     settings: GatewaySettings,
     phases: Arc<Phases>,
-    departure: Arc<Departure>,
+    shutdown: Arc<ShutdownDeadline>,
     connections: TaskTracker,
     /// Tasks that run as long as the instance; aborted when dropped.
     background: JoinSet<()>,
@@ -114,14 +114,14 @@
             "seeds" => settings.seeds.len(), "cores" => settings.cores);
         let phases = Arc::new(Phases::new());
         let connections = TaskTracker::new();
-        let departure = Arc::new(Departure::new());
-        let parts = Parts::new(&settings, incarnation, &phases, &departure, log.clone());
-        let background = parts.spawn(listeners, &connections);
+        let shutdown = Arc::new(ShutdownDeadline::new());
+        let components = Components::new(&settings, incarnation, &phases, &shutdown, log.clone());
+        let background = components.spawn(listeners, &connections);
         Ok(Self {
             log,
             settings,
             phases,
-            departure,
+            shutdown,
             connections,
             background,
         })
@@ -140,7 +140,7 @@
                 let has_changed = settings != self.settings;
                 info!(self.log, "settings read again"; "changed" => has_changed);
             }
-            Err(err) => warn!(self.log, "settings not read again"; "error" => %err),
+            Err(err) => warn!(self.log, "settings not reloaded"; "error" => %err),
         }
     }
 
@@ -149,14 +149,14 @@
     pub async fn leave(mut self) -> Ended {
         let drain = self.settings.drain;
         info!(self.log, "leaving"; "connections" => self.connections.len());
-        let stops_at = Instant::now() + Duration::from_millis(drain.stop_after_ms());
-        self.departure.set(stops_at);
+        let exit_at = Instant::now() + Duration::from_millis(drain.stop_after_ms());
+        self.shutdown.set(exit_at);
         self.phases.advance(Phase::Leaving);
         time::sleep(Duration::from_millis(drain.accept_for_ms())).await;
         self.phases.advance(Phase::Draining);
         info!(self.log, "draining"; "connections" => self.connections.len());
         self.connections.close();
-        let ended = match time::timeout_at(stops_at, self.connections.wait()).await {
+        let ended = match time::timeout_at(exit_at, self.connections.wait()).await {
             Ok(()) => Ended::Drained,
             Err(_) => Ended::TimedOut,
         };
@@ -167,55 +167,51 @@
 }
 
 /// The components of an instance, with their shared dependencies.
-struct Parts {
+struct Components {
     log: Logger,
     clock: Clock,
     is_first_start: bool,
     phases: Arc<Phases>,
     store: StoreClient,
     freshness: Arc<Freshness>,
-    knowledge: Arc<Knowledge>,
+    view: Arc<RoutingView>,
     members: Arc<Members>,
     catch_up: Arc<CatchUp>,
     servers: Arc<Connections>,
     dispatch: Arc<Dispatch>,
-    ends: Arc<CrashDetector>,
+    crash_detector: Arc<CrashDetector>,
     quarantine: Arc<Quarantine>,
     limits: Arc<LimitSharing>,
     forwarder: Arc<Forwarder>,
-    peer_server: PeerServer<Peering>,
+    peer_server: PeerServer<PeerMessages>,
 }
 
-impl Parts {
+impl Components {
     fn new(
         settings: &GatewaySettings,
         incarnation: Incarnation,
         phases: &Arc<Phases>,
-        departure: &Arc<Departure>,
+        shutdown: &Arc<ShutdownDeadline>,
         log: Logger,
     ) -> Self {
         let clock = Clock::start();
-        let knowledge = Arc::new(Knowledge::new(settings, clock, log.clone()));
+        let view = Arc::new(RoutingView::new(settings, clock, log.clone()));
         let servers = Connections::new(ConnectionSettings {
             connect_timeout: CONNECT_TIMEOUT,
-            max_idle: MAX_IDLE,
+            max_idle: MAX_IDLE_PER_SERVER,
             idle_timeout: IDLE_TIMEOUT,
         });
         let store = StoreClient::new(settings.store, clock);
         let me = members::peer_id(settings, incarnation);
         let (peers, _linked) = PeerHandle::new(me.clone(), log.clone());
-        let limits = LimitSharing::new(
-            settings.instance.clone(),
-            Arc::clone(&knowledge),
-            log.clone(),
-        );
+        let limits = LimitSharing::new(settings.instance.clone(), Arc::clone(&view), log.clone());
         let limits = Arc::new(limits);
         let members = Members::new(
             settings,
             incarnation,
             clock,
             peers,
-            Arc::clone(&knowledge),
+            Arc::clone(&view),
             Arc::clone(&limits),
             log.clone(),
         );
@@ -223,10 +219,10 @@
         let freshness = Arc::new(Freshness::new(clock, settings.in_force));
         if settings.is_first_start {
             // There is nothing to read yet; the scheduler sends all updates.
-            freshness.on_told(0);
+            freshness.on_synced(0);
         }
         let catch_up = Arc::new(CatchUp::new(
-            Arc::clone(&knowledge),
+            Arc::clone(&view),
             Arc::clone(&freshness),
             store.clone(),
             incarnation,
@@ -240,29 +236,29 @@
             Arc::clone(&members),
             log.clone(),
         ));
-        let ends = Arc::new(CrashDetector::new(
-            Arc::clone(&knowledge),
+        let crash_detector = Arc::new(CrashDetector::new(
+            Arc::clone(&view),
             Arc::clone(&freshness),
             Arc::clone(&servers),
             Arc::clone(&quarantine),
             log.clone(),
         ));
-        let calls = StageCalls::new(
-            Arc::clone(&knowledge),
+        let calls = StageClient::new(
+            Arc::clone(&view),
             Arc::clone(&servers),
-            Arc::clone(&ends),
+            Arc::clone(&crash_detector),
             Arc::clone(&quarantine),
             log.clone(),
         );
         let dispatch = Dispatch::new(
             clock,
-            Arc::clone(&knowledge),
+            Arc::clone(&view),
             calls,
             Arc::clone(&quarantine),
             Arc::clone(&limits),
             log.clone(),
         );
-        let stages = Stages::new(
+        let stages = StageSubmitter::new(
             settings.instance.clone(),
             incarnation,
             Arc::clone(&members),
@@ -272,16 +268,16 @@
         let forwarder = Arc::new(Forwarder {
             log: log.clone(),
             clock,
-            knowledge: Arc::clone(&knowledge),
+            view: Arc::clone(&view),
             servers: Arc::clone(&servers),
             stages,
-            departure: Arc::clone(departure),
-            ends: Arc::clone(&ends),
+            shutdown: Arc::clone(shutdown),
+            crash_detector: Arc::clone(&crash_detector),
             quarantine: Arc::clone(&quarantine),
             members: Arc::clone(&members),
             limits: Arc::clone(&limits),
         });
-        let handler = Arc::new(Peering {
+        let handler = Arc::new(PeerMessages {
             members: Arc::clone(&members),
             catch_up: Arc::clone(&catch_up),
             dispatch: Arc::clone(&dispatch),
@@ -294,12 +290,12 @@
             phases: Arc::clone(phases),
             store,
             freshness,
-            knowledge,
+            view,
             members,
             catch_up,
             servers,
             dispatch,
-            ends,
+            crash_detector,
             quarantine,
             limits,
             forwarder,
@@ -321,22 +317,22 @@
         tasks.spawn(draining.run(listeners.caller, callers));
         // The readiness and metrics listeners stay available until the process exits.
         let ready = ingress::ready(Arc::clone(&self.phases));
-        self.spawn_lasting(&mut tasks, listeners.ready, ready);
+        self.spawn_until_exit(&mut tasks, listeners.ready, ready);
         let metrics = ingress::metrics(Arc::new(Meters::install()));
-        self.spawn_lasting(&mut tasks, listeners.admin, metrics);
+        self.spawn_until_exit(&mut tasks, listeners.admin, metrics);
         tasks.spawn(self.peer_server.run(listeners.peer));
         let follower = StoreFollower {
             store: self.store.clone(),
-            knowledge: Arc::clone(&self.knowledge),
+            view: Arc::clone(&self.view),
             freshness: self.freshness,
             members: Arc::clone(&self.members),
             is_first_start: self.is_first_start,
             log: self.log.clone(),
         };
-        tasks.spawn(follow::configuration(follower.clone()));
-        tasks.spawn(register::follow(follower.clone()));
-        tasks.spawn(register::settle(Arc::clone(&self.knowledge)));
-        tasks.spawn(follow::instances(follower));
+        tasks.spawn(store_follower::configuration(follower.clone()));
+        tasks.spawn(server_register::follow(follower.clone()));
+        tasks.spawn(server_register::remove_lapsed(Arc::clone(&self.view)));
+        tasks.spawn(store_follower::instances(follower));
         let watch = SchedulerWatch {
             members: Arc::clone(&self.members),
             catch_up: Arc::clone(&self.catch_up),
@@ -347,7 +343,7 @@
             store: self.store.clone(),
         };
         tasks.spawn(Arc::new(watch).run());
-        let keeper = Arc::new(Keeper {
+        let quarantine_store = Arc::new(QuarantineStore {
             quarantine: Arc::clone(&self.quarantine),
             members: Arc::clone(&self.members),
             store: self.store,
@@ -355,15 +351,15 @@
             is_first_start: self.is_first_start,
             log: self.log.clone(),
         });
-        tasks.spawn(Arc::clone(&keeper).learn());
-        tasks.spawn(keeper.run());
-        tasks.spawn(crashes::watch(self.ends));
+        tasks.spawn(Arc::clone(&quarantine_store).load());
+        tasks.spawn(quarantine_store.run());
+        tasks.spawn(crashes::watch(self.crash_detector));
         tasks.spawn(catch_up::run(self.members, self.catch_up));
         tasks.spawn(dispatch::run(Arc::clone(&self.dispatch)));
-        tasks.spawn(dispatch::follow_limits(Arc::clone(&self.dispatch)));
-        tasks.spawn(dispatch::configure(self.dispatch));
-        tasks.spawn(become_ready(self.knowledge, self.phases, self.log));
-        tasks.spawn(upkeep(self.servers));
+        tasks.spawn(dispatch::sync_limits(Arc::clone(&self.dispatch)));
+        tasks.spawn(dispatch::sync_servers(self.dispatch));
+        tasks.spawn(become_ready(self.view, self.phases, self.log));
+        tasks.spawn(prune_connections(self.servers));
         tasks
     }
 
@@ -376,24 +372,24 @@
         }
     }
 
-    fn spawn_lasting(&self, tasks: &mut JoinSet<()>, listener: TcpListener, service: Service) {
+    fn spawn_until_exit(&self, tasks: &mut JoinSet<()>, listener: TcpListener, service: Service) {
         let acceptor = self.acceptor(Arc::new(Phases::new()), TaskTracker::new());
         tasks.spawn(acceptor.run(listener, service));
     }
 }
 
 /// Marks the instance as ready once it knows routes and servers.
-async fn become_ready(knowledge: Arc<Knowledge>, phases: Arc<Phases>, log: Logger) {
-    while knowledge.table().is_none() || knowledge.directory().is_empty() {
+async fn become_ready(view: Arc<RoutingView>, phases: Arc<Phases>, log: Logger) {
+    while view.table().is_none() || view.directory().is_empty() {
         time::sleep(Duration::from_millis(20)).await;
     }
     phases.advance(Phase::Serving);
-    info!(log, "ready"; "version" => knowledge.version());
+    info!(log, "ready"; "version" => view.version());
 }
 
-async fn upkeep(servers: Arc<Connections>) {
+async fn prune_connections(servers: Arc<Connections>) {
     loop {
-        time::sleep(UPKEEP_INTERVAL).await;
+        time::sleep(PRUNE_INTERVAL).await;
         servers.prune();
     }
 }
--- a/crates/server/src/gateway/listing.rs
+++ b/crates/server/src/gateway/instance_list.rs
@@ -10,7 +10,7 @@
 
 /// The listed instances, and up to which position the list is known.
 #[derive(Debug, Default)]
-pub(super) struct Listing {
+pub(super) struct InstanceList {
     peers: BTreeMap<InstanceName, ListedPeer>,
     /// Instances that read the store when the scheduler cannot.
     reserves: Vec<InstanceName>,
@@ -18,7 +18,7 @@
     cursor: Cursor,
 }
 
-impl Listing {
+impl InstanceList {
     /// Returns the position up to which the list is known.
     pub(super) fn cursor(&self) -> Cursor {
         self.cursor
@@ -55,15 +55,15 @@
             if known.is_some_and(|known| known.position >= peer.position) {
                 continue;
             }
-            let says_the_same = known.is_some_and(|known| {
+            let is_unchanged = known.is_some_and(|known| {
                 let position = peer.position;
-                let moved = ListedPeer {
+                let repositioned = ListedPeer {
                     position,
                     ..known.clone()
                 };
-                moved == peer
+                repositioned == peer
             });
-            has_changed |= !says_the_same;
+            has_changed |= !is_unchanged;
             self.peers.insert(peer.instance.clone(), peer);
         }
         self.cursor = self.cursor.max(cursor);
--- a/crates/server/src/gateway/limits.rs
+++ b/crates/server/src/gateway/limits.rs
@@ -17,7 +17,7 @@
 use slog::{Logger, info};
 use tokio::time::Instant;
 
-use super::{knowledge::Knowledge, members::Members};
+use super::{members::Members, routing_view::RoutingView};
 use crate::lock::lock;
 
 /// Shortest time between two exchanges.
@@ -47,40 +47,43 @@
 #[derive(Debug)]
 pub(super) struct LimitSharing {
     log: Logger,
-    knowledge: Arc<Knowledge>,
+    view: Arc<RoutingView>,
     grants: Mutex<LimitGrants>,
-    last: Mutex<Option<Exchanged>>,
+    last_exchange: Mutex<Option<Exchanged>>,
 }
 
 impl LimitSharing {
-    pub(super) fn new(instance: InstanceName, knowledge: Arc<Knowledge>, log: Logger) -> Self {
+    pub(super) fn new(instance: InstanceName, view: Arc<RoutingView>, log: Logger) -> Self {
         Self {
             log,
-            knowledge,
+            view,
             grants: Mutex::new(LimitGrants::new(instance)),
-            last: Mutex::default(),
+            last_exchange: Mutex::default(),
         }
     }
 
     /// Returns the revision of this instance's rate limit reports.
     pub(super) fn revision(&self) -> u64 {
-        self.knowledge.fleet().limits().revision()
+        self.view.fleet().limits().revision()
     }
 
     /// Exchanges changes with the run `incarnation` of the scheduler, which is at
     /// `remote_revision`.
-    pub(super) async fn follow(
+    pub(super) async fn exchange(
         &self,
         members: &Members,
         scheduler: &InstanceName,
         incarnation: Incarnation,
         remote_revision: u64,
     ) {
-        let last = *lock(&self.last);
-        let last = last.filter(|last| last.incarnation == incarnation);
-        let (received, sent) =
-            last.map_or((0, 0), |last| (last.remote_revision, last.local_revision));
-        let is_recent = last.is_some_and(|last| last.at.elapsed() < EXCHANGE_INTERVAL);
+        let last_exchange = *lock(&self.last_exchange);
+        let last_exchange =
+            last_exchange.filter(|last_exchange| last_exchange.incarnation == incarnation);
+        let (received, sent) = last_exchange.map_or((0, 0), |last_exchange| {
+            (last_exchange.remote_revision, last_exchange.local_revision)
+        });
+        let is_recent = last_exchange
+            .is_some_and(|last_exchange| last_exchange.at.elapsed() < EXCHANGE_INTERVAL);
         let (local_revision, reports) = self.own_since(sent);
         if is_recent || (received == remote_revision && reports.is_empty()) {
             return;
@@ -100,13 +103,13 @@
             .await;
         match response {
             Ok(Message::LimitState(state)) => {
-                *lock(&self.last) = Some(Exchanged {
+                *lock(&self.last_exchange) = Some(Exchanged {
                     incarnation,
                     remote_revision: state.revision,
                     local_revision,
                     at: Instant::now(),
                 });
-                self.knowledge.update_limits(state.reports);
+                self.view.update_limits(state.reports);
             }
             Ok(_) => {}
             Err(err) => {
@@ -122,36 +125,36 @@
             known_revision,
             reports,
         } = query;
-        let (revision, reports) = self.knowledge.exchange_limits(known_revision, reports);
+        let (revision, reports) = self.view.exchange_limits(known_revision, reports);
         LimitState { revision, reports }
     }
 
     fn own_since(&self, revision: u64) -> (u64, Vec<LimitReport>) {
-        let now_ms = self.knowledge.now_ms();
-        let mut fleet = self.knowledge.fleet();
+        let now_ms = self.view.now_ms();
+        let mut fleet = self.view.fleet();
         let limits = fleet.limits();
         (limits.revision(), limits.own_since(now_ms, revision))
     }
 
     /// Sets the list of instances.
     pub(super) fn set_listed(&self, instances: &[InstanceName]) {
-        self.grants().set_listed(self.knowledge.now_ms(), instances);
+        self.grants().set_listed(self.view.now_ms(), instances);
     }
 
     /// Records a query of an instance, which shows that it is alive.
     pub(super) fn on_seen(&self, instance: &InstanceName) {
-        self.grants().on_seen(self.knowledge.now_ms(), instance);
+        self.grants().on_seen(self.view.now_ms(), instance);
     }
 
     /// Returns the share of all limits that this instance grants.
     pub(super) fn share(&self) -> f64 {
-        self.grants().share(self.knowledge.now_ms())
+        self.grants().share(self.view.now_ms())
     }
 
     /// Decides on a grant by the limits and buckets of this instance.
     pub(super) fn grant(&self, query: &GrantQuery) -> GrantState {
-        let now_ms = self.knowledge.now_ms();
-        let mut fleet = self.knowledge.fleet();
+        let now_ms = self.view.now_ms();
+        let mut fleet = self.view.fleet();
         let limits = fleet.limits();
         self.grants()
             .grant(now_ms, query, |server, reported_per_s| {
@@ -162,7 +165,7 @@
     /// Requests a grant from the scheduler, or decides on it here where there is none.
     pub(super) async fn request_grant(&self, members: &Members, query: GrantQuery) -> GrantState {
         let scheduler = members.scheduler();
-        let Some(scheduler) = scheduler.filter(|name| !members.is_me(name)) else {
+        let Some(scheduler) = scheduler.filter(|name| !members.is_self(name)) else {
             return self.grant(&query);
         };
         let message = Message::GrantQuery(query);
@@ -174,7 +177,7 @@
             Ok(Message::GrantState(state)) => state,
             Ok(_) => SCHEDULER_UNREACHABLE,
             Err(err) => {
-                info!(self.log, "grant not asked"; "of" => %scheduler, "error" => %err);
+                info!(self.log, "grant query failed"; "of" => %scheduler, "error" => %err);
                 SCHEDULER_UNREACHABLE
             }
         }
--- a/crates/server/src/gateway/answers.rs
+++ b/crates/server/src/gateway/local_reply.rs
@@ -22,7 +22,7 @@
 
 /// Why a request has no response from a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Why {
+pub(super) enum FailureReason {
     /// The instance knows no routes yet.
     Starting,
     /// No route matches the request.
@@ -36,7 +36,7 @@
     /// Its body was truncated or its framing is invalid.
     BadBody,
     /// Its stages would miss the deadline, or failed; with the `Retry-After`, in ms.
-    Stages(Refusal, u64),
+    StageSubmitter(Refusal, u64),
     /// Too many servers crashed under it; with the time for which it is not sent again,
     /// in ms, if that is known.
     EndsServers(Option<u64>),
@@ -59,7 +59,7 @@
     Overdue,
 }
 
-impl Why {
+impl FailureReason {
     /// Returns the name used in logs and metrics.
     pub(super) fn as_str(self) -> &'static str {
         match self {
@@ -69,7 +69,7 @@
             Self::LargeBody => "large_body",
             Self::SlowBody => "slow_body",
             Self::BadBody => "bad_body",
-            Self::Stages(refusal, _) => refusal.as_str(),
+            Self::StageSubmitter(refusal, _) => refusal.as_str(),
             Self::EndsServers(_) => "ends_servers",
             Self::CopyRuns(_) => "copy_runs",
             Self::Leaving => "leaving",
@@ -91,7 +91,7 @@
             Self::SlowBody => StatusCode::REQUEST_TIMEOUT,
             Self::BadBody => StatusCode::BAD_REQUEST,
             Self::Starting
-            | Self::Stages(..)
+            | Self::StageSubmitter(..)
             | Self::CopyRuns(_)
             | Self::Leaving
             | Self::NoServer
@@ -106,7 +106,7 @@
     fn retry_after_ms(self) -> Option<u64> {
         match self {
             Self::Starting => Some(STARTING_RETRY_AFTER_MS),
-            Self::Stages(_, retry_after_ms) => Some(retry_after_ms),
+            Self::StageSubmitter(_, retry_after_ms) => Some(retry_after_ms),
             Self::EndsServers(retry_after_ms) => retry_after_ms,
             Self::CopyRuns(retry_after_ms)
             | Self::Limited(retry_after_ms)
@@ -118,7 +118,7 @@
     }
 }
 
-impl From<Unroutable> for Why {
+impl From<Unroutable> for FailureReason {
     fn from(unroutable: Unroutable) -> Self {
         match unroutable {
             Unroutable::NoRoute => Self::NoRoute,
@@ -127,7 +127,7 @@
     }
 }
 
-impl From<BodyFault> for Why {
+impl From<BodyFault> for FailureReason {
     fn from(fault: BodyFault) -> Self {
         match fault {
             BodyFault::TooLarge => Self::LargeBody,
@@ -138,14 +138,17 @@
 }
 
 /// Builds the response for a request that has none from a backend server.
-pub(super) fn own(id: Option<&RequestId>, why: Why) -> Response<Body> {
-    let text = match why {
-        Why::EndsServers(_) => format!("{}: {ENDS_SERVERS_TEXT}\n", why.as_str()),
-        _ => format!("{}\n", why.as_str()),
+pub(super) fn build(id: Option<&RequestId>, reason: FailureReason) -> Response<Body> {
+    let text = match reason {
+        FailureReason::EndsServers(_) => format!("{}: {ENDS_SERVERS_TEXT}\n", reason.as_str()),
+        _ => format!("{}\n", reason.as_str()),
     };
-    let mut response = http_body::with_type(why.status(), "text/plain", text);
-    request::put_own_answer(response.headers_mut(), id, why.retry_after_ms());
-    if why == Why::BadBody || why == Why::SlowBody || why == Why::LargeBody {
+    let mut response = http_body::with_type(reason.status(), "text/plain", text);
+    request::put_own_answer(response.headers_mut(), id, reason.retry_after_ms());
+    if reason == FailureReason::BadBody
+        || reason == FailureReason::SlowBody
+        || reason == FailureReason::LargeBody
+    {
         // The rest of the body is not read.
         let close = http::HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
--- a/crates/server/src/gateway/members.rs
+++ b/crates/server/src/gateway/members.rs
@@ -21,7 +21,7 @@
 use tokio::{sync::watch, time::Instant};
 
 use super::{
-    batch::Batch, knowledge::Knowledge, limits::LimitSharing, listing::Listing,
+    batch::Batch, instance_list::InstanceList, limits::LimitSharing, routing_view::RoutingView,
     settings::GatewaySettings, store::StoreClient,
 };
 use crate::{
@@ -42,16 +42,16 @@
     pub(super) clock: Clock,
     pub(super) log: Logger,
     peers: PeerHandle,
-    knowledge: Arc<Knowledge>,
+    view: Arc<RoutingView>,
     limits: Arc<LimitSharing>,
-    listed: Mutex<Listing>,
+    list: Mutex<InstanceList>,
     /// Store era in which this instance has written its entry again.
-    listed_again_in: AtomicU64,
+    entry_rewritten_in_era: AtomicU64,
     choice: Mutex<SchedulerChoice>,
     /// When another instance replaced this one as the scheduler, and which one.
-    pub(super) replaced: Mutex<Option<(Instant, InstanceName)>>,
+    pub(super) replacement: Mutex<Option<(Instant, InstanceName)>>,
     /// Notified when the reachability of an instance is updated.
-    pub(super) heard: watch::Sender<()>,
+    pub(super) reachability_changed: watch::Sender<()>,
 }
 
 impl Members {
@@ -60,7 +60,7 @@
         incarnation: Incarnation,
         clock: Clock,
         peers: PeerHandle,
-        knowledge: Arc<Knowledge>,
+        view: Arc<RoutingView>,
         limits: Arc<LimitSharing>,
         log: Logger,
     ) -> Self {
@@ -76,13 +76,13 @@
             clock,
             log,
             peers,
-            knowledge,
+            view,
             limits,
-            listed: Mutex::default(),
-            listed_again_in: AtomicU64::new(0),
+            list: Mutex::default(),
+            entry_rewritten_in_era: AtomicU64::new(0),
             choice: Mutex::default(),
-            replaced: Mutex::default(),
-            heard: watch::Sender::new(()),
+            replacement: Mutex::default(),
+            reachability_changed: watch::Sender::new(()),
         }
     }
 
@@ -99,24 +99,24 @@
     /// Returns this instance's role in reading the store.
     pub(super) fn reader(&self) -> Reader {
         let scheduler = self.scheduler();
-        let listed = self.listed();
-        Reader::of(&self.me, scheduler.as_ref(), listed.reserves())
+        let list = self.list();
+        Reader::of(&self.me, scheduler.as_ref(), list.reserves())
     }
 
     /// Returns whether `instance` is this one.
-    pub(super) fn is_me(&self, instance: &InstanceName) -> bool {
+    pub(super) fn is_self(&self, instance: &InstanceName) -> bool {
         *instance == self.me
     }
 
     /// Writes this instance's entry into the list in the store.
-    pub(super) async fn write_self(&self, store: &StoreClient) -> super::store::Result<()> {
+    pub(super) async fn write_own_entry(&self, store: &StoreClient) -> super::store::Result<()> {
         store
             .write_instance(self.me.as_str(), &self.own_record)
             .await
     }
 
     /// Applies a read of the list.
-    pub(super) fn apply(&self, batch: Batch) {
+    pub(super) fn apply_batch(&self, batch: Batch) {
         let mut peers = Vec::with_capacity(batch.records.len());
         for record in &batch.records {
             let Some(value) = &record.value else { continue };
@@ -129,81 +129,82 @@
                     position: batch.position(record),
                 }),
                 Err(err) => {
-                    warn!(self.log, "instance not understood"; "peer" => &record.key,
+                    warn!(self.log, "invalid instance entry"; "peer" => &record.key,
                         "error" => %err);
                 }
             }
         }
         let cursor = batch.cursor(self.list_cursor());
-        self.adopt(peers, cursor);
+        self.merge_list(peers, cursor);
     }
 
     /// Merges entries from the store or from a peer that knows the list up to `cursor`.
-    pub(super) fn adopt(&self, peers: Vec<ListedPeer>, cursor: Cursor) {
-        let has_changed = self.listed().update(peers, cursor);
+    pub(super) fn merge_list(&self, peers: Vec<ListedPeer>, cursor: Cursor) {
+        let has_changed = self.list().update(peers, cursor);
         if has_changed {
-            self.take_list();
+            self.on_list_changed();
         }
     }
 
     /// Returns the position up to which the list is known.
     pub(super) fn list_cursor(&self) -> Cursor {
-        self.listed().cursor()
+        self.list().cursor()
     }
 
     /// Returns whether the store was restored from a copy that lacks this instance, and
     /// this instance has not written its entry again yet.
     pub(super) fn is_missing_in_copy(&self) -> bool {
-        let listed = self.listed();
-        let written_in = self.listed_again_in.load(Ordering::Relaxed);
-        written_in < listed.cursor().era && listed.is_missing_in_copy(&self.me)
+        let list = self.list();
+        let written_in = self.entry_rewritten_in_era.load(Ordering::Relaxed);
+        written_in < list.cursor().era && list.is_missing_in_copy(&self.me)
     }
 
     /// Records that this instance has written its entry again.
-    pub(super) fn on_listed_again(&self) {
+    pub(super) fn on_entry_rewritten(&self) {
         let era = self.list_cursor().era;
-        self.listed_again_in.fetch_max(era, Ordering::Relaxed);
+        self.entry_rewritten_in_era
+            .fetch_max(era, Ordering::Relaxed);
     }
 
     /// Returns whether this instance's entry in the list, as read, is correct. The
     /// entry's incarnation does not matter to others, so an instance that restarts need
     /// not write again.
-    pub(super) fn is_listed_as_it_is(&self, batch: &Batch) -> bool {
+    pub(super) fn is_own_entry_current(&self, batch: &Batch) -> bool {
         let mut records = batch.records.iter().rev();
         let own = records.find(|record| record.key == self.me.as_str());
         let own = own.and_then(|record| store::decode_instance(record.value.as_ref()?).ok());
         own.is_some_and(|own| {
             let incarnation = self.own_record.incarnation;
-            let same_run = InstanceRecord { incarnation, ..own };
-            same_run == self.own_record
+            let own_with_same_run = InstanceRecord { incarnation, ..own };
+            own_with_same_run == self.own_record
         })
     }
 
     /// Returns the entries that are new to a peer that knows the list up to `known`.
-    pub(super) fn listed_from(&self, known: Cursor) -> Vec<ListedPeer> {
-        let listed = self.listed();
+    pub(super) fn entries_since(&self, known: Cursor) -> Vec<ListedPeer> {
+        let list = self.list();
         let from = known.position();
-        let later = listed.peers().filter(|peer| peer.position >= from);
+        let later = list.peers().filter(|peer| peer.position >= from);
         later.cloned().collect()
     }
 
-    fn take_list(&self) {
-        let listed = self.listed();
-        let count = u32::try_from(listed.peers().count()).unwrap_or(u32::MAX);
-        info!(self.log, "instances listed"; "instances" => count, "position" => %listed.cursor());
-        self.knowledge.budgets().on_listed(count);
-        let names = listed.peers().map(|peer| peer.instance.clone());
+    fn on_list_changed(&self) {
+        let list = self.list();
+        let count = u32::try_from(list.peers().count()).unwrap_or(u32::MAX);
+        info!(self.log, "instances listed"; "instances" => count, "position" => %list.cursor());
+        self.view.budgets().on_listed(count);
+        let names = list.peers().map(|peer| peer.instance.clone());
         let names: Vec<InstanceName> = names.collect();
-        self.knowledge.fleet().cold().set_listed(&names);
+        self.view.fleet().cold().set_listed(&names);
         self.limits.set_listed(&names);
-        let others = listed.peers().filter(|peer| peer.instance != self.me);
+        let others = list.peers().filter(|peer| peer.instance != self.me);
         self.peers.set_addrs(others.map(contact));
-        let candidates = listed.peers().map(|peer| Candidate {
+        let candidates = list.peers().map(|peer| Candidate {
             instance: peer.instance.clone(),
             cores: peer.cores,
         });
         let mut candidates: Vec<Candidate> = candidates.collect();
-        if listed.peer(&self.me).is_none() {
+        if list.peer(&self.me).is_none() {
             // An instance that could not write its entry yet and reaches no other is its
             // own scheduler.
             candidates.push(Candidate {
@@ -214,8 +215,8 @@
         self.choice().set_candidates(candidates);
     }
 
-    fn listed(&self) -> MutexGuard<'_, Listing> {
-        lock(&self.listed)
+    fn list(&self) -> MutexGuard<'_, InstanceList> {
+        lock(&self.list)
     }
 
     pub(super) fn choice(&self) -> MutexGuard<'_, SchedulerChoice> {
@@ -226,14 +227,14 @@
 impl Members {
     /// Chooses instances to query for their state: reserves, or the seeds from the
     /// settings while no instance is listed.
-    pub(super) fn contacts(&self) -> Vec<Contact> {
-        let listed = self.listed();
-        let reserves = listed.reserves().iter().filter(|name| **name != self.me);
+    pub(super) fn catch_up_contacts(&self) -> Vec<Contact> {
+        let list = self.list();
+        let reserves = list.reserves().iter().filter(|name| **name != self.me);
         let mut contacts: Vec<Contact> = reserves
-            .filter_map(|name| listed.peer(name))
+            .filter_map(|name| list.peer(name))
             .map(contact)
             .collect();
-        drop(listed);
+        drop(list);
         if contacts.is_empty() {
             let others = self
                 .seeds
--- a/crates/server/src/gateway/peering.rs
+++ b/crates/server/src/gateway/peer_messages.rs
@@ -18,10 +18,10 @@
 /// Time for which a starting instance accepts stages of others: it knows routes and
 /// servers some ms after it becomes reachable, and the others need not choose another
 /// scheduler.
-const STARTING: Duration = Duration::from_millis(1_000);
+const STARTUP_WINDOW: Duration = Duration::from_millis(1_000);
 
 /// Routes messages from peers to the components that handle them.
-pub(super) struct Peering {
+pub(super) struct PeerMessages {
     pub(super) started: Instant,
     pub(super) members: Arc<Members>,
     pub(super) catch_up: Arc<CatchUp>,
@@ -31,26 +31,26 @@
     pub(super) phases: Arc<Phases>,
 }
 
-impl Peering {
+impl PeerMessages {
     /// Returns whether this instance schedules for others, or will in a moment.
     fn is_taking(&self) -> bool {
         match self.phases.current() {
-            Phase::Starting => self.started.elapsed() < STARTING,
+            Phase::Starting => self.started.elapsed() < STARTUP_WINDOW,
             Phase::Serving => true,
             Phase::Leaving | Phase::Draining => false,
         }
     }
 }
 
-impl PeerHandler for Peering {
+impl PeerHandler for PeerMessages {
     fn on_gossip(&self, _from: &PeerId, _message: Message) {
         metrics::counter!("savoryvane_peer_unexpected_total").increment(1);
     }
 
     fn on_request(&self, from: PeerId, message: Message, _wait: Duration) -> PeerAnswer {
-        let answer = match message {
+        let response = match message {
             Message::StageSubmission(submission) => {
-                if let Some(next) = self.members.replaced_by() {
+                if let Some(next) = self.members.successor() {
                     let moved = StageOutcome::Moved {
                         done: submission.done,
                         to: Some(next),
@@ -59,7 +59,7 @@
                 }
                 let dispatch = Arc::clone(&self.dispatch);
                 let phases = Arc::clone(&self.phases);
-                let starting_until = self.started + STARTING;
+                let starting_until = self.started + STARTUP_WINDOW;
                 return Box::pin(async move {
                     let serving = phases.reached(Phase::Serving);
                     let _ = time::timeout_at(starting_until, serving).await;
@@ -81,23 +81,23 @@
                     limits_revision: self.limits.revision(),
                 })
             }
-            Message::RoutingQuery(question) => {
-                let answer = self.catch_up.answer(&self.members, question);
-                answer.map_or(Message::Declined(Declined::NotMine), Message::RoutingState)
+            Message::RoutingQuery(query) => {
+                let response = self.catch_up.respond(&self.members, query);
+                response.map_or(Message::Declined(Declined::NotMine), Message::RoutingState)
             }
-            Message::CrashQuery(question) => {
-                let answer = self.quarantine.on_query(question);
-                answer.map_or(Message::Declined(Declined::NotMine), Message::CrashState)
+            Message::CrashQuery(query) => {
+                let response = self.quarantine.on_query(query);
+                response.map_or(Message::Declined(Declined::NotMine), Message::CrashState)
             }
-            Message::LimitQuery(question) => Message::LimitState(self.limits.on_query(question)),
-            Message::GrantQuery(question) => Message::GrantState(self.limits.grant(&question)),
-            Message::PermitQuery(question) => Message::PermitState(self.quarantine.grant(question)),
-            Message::PermitReturn(returned) => {
-                self.quarantine.on_returned(returned);
+            Message::LimitQuery(query) => Message::LimitState(self.limits.on_query(query)),
+            Message::GrantQuery(query) => Message::GrantState(self.limits.grant(&query)),
+            Message::PermitQuery(query) => Message::PermitState(self.quarantine.grant(query)),
+            Message::PermitReturn(permit) => {
+                self.quarantine.on_returned(permit);
                 Message::Taken(Taken)
             }
             _ => Message::Declined(Declined::Unsupported),
         };
-        Box::pin(future::ready(answer))
+        Box::pin(future::ready(response))
     }
 }
--- a/crates/server/src/gateway/quarantine.rs
+++ b/crates/server/src/gateway/quarantine.rs
@@ -32,13 +32,13 @@
 
 /// Interval between two queries for updates. Only the first copies of a request can be
 /// sent by instances that do not know of its crashes yet; later ones need a permit.
-const FOLLOW_INTERVAL: Duration = Duration::from_millis(500);
+const SYNC_INTERVAL: Duration = Duration::from_millis(500);
 /// Timeout of a query: a round trip takes a few ms.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Margin added to the time left for a request, after which its permit expires.
-const LEASE_SPARE: Duration = Duration::from_millis(500);
+const LEASE_MARGIN: Duration = Duration::from_millis(500);
 /// Maximum number of crash reports that are kept while no scheduler is reachable.
-const MOST_UNREPORTED: usize = 1_024;
+const MAX_UNREPORTED: usize = 1_024;
 
 /// The requests that crash servers, as far as this instance knows.
 #[derive(Debug)]
@@ -47,7 +47,7 @@
     clock: Clock,
     incarnation: Incarnation,
     members: Arc<Members>,
-    book: Mutex<CrashTracker>,
+    tracker: Mutex<CrashTracker>,
     permits: Mutex<Permits>,
     /// Run of the scheduler whose tracker was merged last, its revision, and when that
     /// was.
@@ -62,36 +62,38 @@
 
 /// Permit to run one copy of a suspect; returned when dropped.
 #[derive(Debug)]
-pub(super) struct HeldPermit {
+pub(super) struct PermitGuard {
     quarantine: Arc<Quarantine>,
     /// Instance that granted it; `None` if this one did.
-    giver: Option<InstanceName>,
+    grantor: Option<InstanceName>,
     digest: RequestDigest,
     permit: Permit,
 }
 
-impl HeldPermit {
+impl PermitGuard {
     /// Returns its place among the requests that run on separate servers, if it has one.
     pub(super) fn place(&self) -> Option<u32> {
         self.permit.place
     }
 }
 
-impl Drop for HeldPermit {
+impl Drop for PermitGuard {
     fn drop(&mut self) {
         let (quarantine, digest, permit) = (&self.quarantine, self.digest, self.permit);
-        let Some(giver) = self.giver.take() else {
+        let Some(grantor) = self.grantor.take() else {
             return quarantine.permits().give_back(&digest, permit);
         };
         let quarantine = Arc::clone(quarantine);
         let message = Message::PermitReturn(PermitReturn { digest, permit });
         tokio::spawn(async move {
             let peers = quarantine.members.peers();
-            let told = peers.request(&giver, None, &message, ANSWER_TIMEOUT).await;
-            if let Err(err) = told {
+            let response = peers
+                .request(&grantor, None, &message, RESPONSE_TIMEOUT)
+                .await;
+            if let Err(err) = response {
                 // The permit expires by itself.
-                info!(quarantine.log, "permit not given back"; "digest" => %digest,
-                    "to" => %giver, "error" => %err);
+                info!(quarantine.log, "permit not returned"; "digest" => %digest,
+                    "to" => %grantor, "error" => %err);
             }
         });
     }
@@ -99,11 +101,11 @@
 
 /// Outcome of a request for a permit.
 #[derive(Debug)]
-pub(super) enum Asked {
+pub(super) enum PermitOutcome {
     /// The request may be sent.
-    Granted(HeldPermit),
+    Granted(PermitGuard),
     /// Another copy is running; its permit expires after this time.
-    Out(Duration),
+    CopyRunning(Duration),
     /// The request is quarantined; with the instance whose count decided that.
     Quarantined(CountedBy),
 }
@@ -121,7 +123,7 @@
             clock,
             incarnation,
             members,
-            book: Mutex::new(CrashTracker::new(settings)),
+            tracker: Mutex::new(CrashTracker::new(settings)),
             permits: Mutex::default(),
             source: Mutex::default(),
             unreported: Mutex::default(),
@@ -132,12 +134,12 @@
 
     /// Returns the quarantine status of a request.
     pub(super) fn standing(&self, digest: &RequestDigest) -> Standing {
-        self.book().standing(self.clock.now_ms(), digest)
+        self.tracker().standing(self.clock.now_ms(), digest)
     }
 
     /// Returns the number of servers that crashed under a request; capped below the
     /// quarantine threshold unless the request is quarantined.
-    pub(super) fn ends(&self, digest: &RequestDigest) -> u32 {
+    pub(super) fn crash_count(&self, digest: &RequestDigest) -> u32 {
         match self.standing(digest) {
             Standing::Suspect { ends } => ends.min(CRASHES_TO_QUARANTINE - 1),
             standing => standing.ends(),
@@ -146,23 +148,23 @@
 
     /// Records that a server crashed under a request. Returns the request's crash count,
     /// 0 if the request was answered recently and is not to blame.
-    pub(super) fn on_end(&self, record: CrashReport) -> u32 {
+    pub(super) fn on_crash(&self, record: CrashReport) -> u32 {
         let now_ms = self.clock.now_ms();
         let digest = record.digest;
-        let counts = self.book().on_end(now_ms, record.clone());
-        if !counts {
+        let is_counted = self.tracker().on_end(now_ms, record.clone());
+        if !is_counted {
             return 0;
         }
-        self.to_report(vec![record]);
+        self.queue_reports(vec![record]);
         self.changed.notify_one();
-        self.ends(&digest)
+        self.crash_count(&digest)
     }
 
     /// Records a complete response of a server to a request, which clears it of
     /// suspicion.
     pub(super) fn on_answered(self: &Arc<Self>, digest: RequestDigest) {
         let now_ms = self.clock.now_ms();
-        let was_suspect = self.book().on_answered(now_ms, digest);
+        let was_suspect = self.tracker().on_answered(now_ms, digest);
         if was_suspect {
             info!(self.log, "suspect cleared"; "digest" => %digest, "reason" => "answered");
             self.report_change(&digest);
@@ -171,76 +173,82 @@
 
     /// Records that a server is running that was judged crashed.
     pub(super) fn on_running(self: &Arc<Self>, digest: RequestDigest, server: &BackendName) {
-        let was_ended = self.book().on_running(digest, server);
+        let was_ended = self.tracker().on_running(digest, server);
         if was_ended {
             info!(self.log, "suspect cleared"; "digest" => %digest, "server" => %server,
-                "reason" => "server runs on");
+                "reason" => "server is still running");
             self.report_change(&digest);
         }
     }
 
     fn report_change(self: &Arc<Self>, digest: &RequestDigest) {
-        let records = self.book().records(self.clock.now_ms(), digest);
-        self.to_report(records);
+        let records = self.tracker().records(self.clock.now_ms(), digest);
+        self.queue_reports(records);
         self.changed.notify_one();
         let quarantine = Arc::clone(self);
         tokio::spawn(async move { quarantine.report().await });
     }
 
-    fn to_report(&self, records: Vec<CrashReport>) {
+    fn queue_reports(&self, records: Vec<CrashReport>) {
         let mut unreported = self.unreported();
         unreported.extend(records);
-        let excess = unreported.len().saturating_sub(MOST_UNREPORTED);
+        let excess = unreported.len().saturating_sub(MAX_UNREPORTED);
         unreported.drain(..excess);
     }
 
     /// Requests a permit to send a suspect.
-    pub(super) async fn ask(self: &Arc<Self>, digest: RequestDigest, left: Duration) -> Asked {
-        let lease_ms = (left + LEASE_SPARE).as_millis() as u64;
+    pub(super) async fn request_permit(
+        self: &Arc<Self>,
+        digest: RequestDigest,
+        left: Duration,
+    ) -> PermitOutcome {
+        let lease_ms = (left + LEASE_MARGIN).as_millis() as u64;
         let scheduler = self.members.scheduler();
-        let scheduler = scheduler.filter(|name| !self.members.is_me(name));
-        let told = match &scheduler {
-            Some(scheduler) => self.ask_at(scheduler, digest, lease_ms).await,
+        let scheduler = scheduler.filter(|name| !self.members.is_self(name));
+        let response = match &scheduler {
+            Some(scheduler) => self.query_scheduler(scheduler, digest, lease_ms).await,
             None => None,
         };
-        let giver = scheduler.filter(|_| told.is_some());
-        let counted_by = match giver {
+        let grantor = scheduler.filter(|_| response.is_some());
+        let counted_by = match grantor {
             Some(_) => CountedBy::Scheduler,
             None => CountedBy::Own,
         };
-        match told.unwrap_or_else(|| self.grant(PermitQuery { digest, lease_ms })) {
-            PermitState::Granted(permit) => Asked::Granted(HeldPermit {
+        match response.unwrap_or_else(|| self.grant(PermitQuery { digest, lease_ms })) {
+            PermitState::Granted(permit) => PermitOutcome::Granted(PermitGuard {
                 quarantine: Arc::clone(self),
-                giver,
+                grantor,
                 digest,
                 permit,
             }),
-            PermitState::Out { lapses_in_ms } => Asked::Out(Duration::from_millis(lapses_in_ms)),
+            PermitState::Out { lapses_in_ms } => {
+                PermitOutcome::CopyRunning(Duration::from_millis(lapses_in_ms))
+            }
             PermitState::Quarantined(records) => {
-                self.on_told(records, "permit");
-                Asked::Quarantined(counted_by)
+                self.merge_reports(records, "permit");
+                PermitOutcome::Quarantined(counted_by)
             }
         }
     }
 
-    async fn ask_at(
+    async fn query_scheduler(
         &self,
         scheduler: &InstanceName,
         digest: RequestDigest,
         lease_ms: u64,
     ) -> Option<PermitState> {
-        let question = Message::PermitQuery(PermitQuery { digest, lease_ms });
+        let query = Message::PermitQuery(PermitQuery { digest, lease_ms });
         let peers = self.members.peers();
-        let answer = peers
-            .request(scheduler, None, &question, ANSWER_TIMEOUT)
+        let response = peers
+            .request(scheduler, None, &query, RESPONSE_TIMEOUT)
             .await;
-        match answer {
+        match response {
             Ok(Message::PermitState(state)) => Some(state),
             Ok(_) => None,
             Err(err) => {
                 // Without the scheduler, this instance decides itself: a zone that is cut
                 // off still serves what it can.
-                info!(self.log, "permit not asked"; "digest" => %digest, "of" => %scheduler,
+                info!(self.log, "permit query failed"; "digest" => %digest, "of" => %scheduler,
                     "error" => %err);
                 None
             }
@@ -248,10 +256,11 @@
     }
 
     /// Decides on a permit by this instance's own tracker.
-    pub(super) fn grant(&self, question: PermitQuery) -> PermitState {
-        let PermitQuery { digest, lease_ms } = question;
+    pub(super) fn grant(&self, query: PermitQuery) -> PermitState {
+        let PermitQuery { digest, lease_ms } = query;
         let now_ms = self.clock.now_ms();
-        self.permits().grant(now_ms, &self.book(), digest, lease_ms)
+        self.permits()
+            .grant(now_ms, &self.tracker(), digest, lease_ms)
     }
 
     /// Takes back a permit that this instance granted.
@@ -262,7 +271,7 @@
     /// Reports the crashes that this instance detected to the scheduler.
     pub(super) async fn report(&self) {
         let scheduler = self.members.scheduler();
-        match scheduler.filter(|name| !self.members.is_me(name)) {
+        match scheduler.filter(|name| !self.members.is_self(name)) {
             Some(scheduler) => self.exchange(&scheduler, None).await,
             // This instance is the scheduler or knows none; its own tracker counts.
             None => self.unreported().clear(),
@@ -271,10 +280,10 @@
 
     /// Queries the run `incarnation` of the scheduler for updates, unless the last query
     /// is recent and there is nothing to report.
-    pub(super) async fn follow(&self, scheduler: &InstanceName, incarnation: Incarnation) {
+    pub(super) async fn sync(&self, scheduler: &InstanceName, incarnation: Incarnation) {
         let source = *self.source();
         let is_known = source.is_some_and(|(known, at)| {
-            known.incarnation == incarnation && at.elapsed() < FOLLOW_INTERVAL
+            known.incarnation == incarnation && at.elapsed() < SYNC_INTERVAL
         });
         if !is_known || !self.unreported().is_empty() {
             self.exchange(scheduler, Some(incarnation)).await;
@@ -289,62 +298,62 @@
             Some(incarnation) => source.filter(|known| known.incarnation == incarnation),
             None => source,
         };
-        let untold = std::mem::take(&mut *self.unreported());
+        let unreported = std::mem::take(&mut *self.unreported());
         let records = match known {
-            Some(_) => untold.clone(),
-            None => self.book().own(self.clock.now_ms()),
+            Some(_) => unreported.clone(),
+            None => self.tracker().own(self.clock.now_ms()),
         };
-        let question = Message::CrashQuery(CrashQuery { known, records });
+        let query = Message::CrashQuery(CrashQuery { known, records });
         let peers = self.members.peers();
-        let answer = peers
-            .request(scheduler, incarnation, &question, ANSWER_TIMEOUT)
+        let response = peers
+            .request(scheduler, incarnation, &query, RESPONSE_TIMEOUT)
             .await;
-        match answer {
+        match response {
             Ok(Message::CrashState(CrashState { known, records })) => {
                 *self.source() = Some((known, Instant::now()));
-                self.on_told(records, "peer");
+                self.merge_reports(records, "peer");
                 self.on_loaded();
             }
-            Ok(_) => self.to_report(untold),
+            Ok(_) => self.queue_reports(unreported),
             Err(err) => {
-                if !untold.is_empty() {
-                    warn!(self.log, "ends not told"; "to" => %scheduler, "ends" => untold.len(),
+                if !unreported.is_empty() {
+                    warn!(self.log, "crash reports not sent"; "to" => %scheduler, "ends" => unreported.len(),
                         "error" => %err);
                 }
-                self.to_report(untold);
+                self.queue_reports(unreported);
             }
         }
     }
 
     /// Merges a peer's crash reports, and returns those that it lacks; `None` before the
     /// crashes known before this instance's start are loaded.
-    pub(super) fn on_query(&self, question: CrashQuery) -> Option<CrashState> {
-        self.on_told(question.records, "peer");
+    pub(super) fn on_query(&self, query: CrashQuery) -> Option<CrashState> {
+        self.merge_reports(query.records, "peer");
         if !*self.is_loaded.borrow() {
             return None;
         }
-        let known = question.known;
+        let known = query.known;
         let known = known.filter(|known| known.incarnation == self.incarnation);
         let revision = known.map_or(0, |known| known.revision);
-        let told = self.book().told_since(self.clock.now_ms(), revision);
+        let update = self.tracker().told_since(self.clock.now_ms(), revision);
         let known = KnownCrashes {
             incarnation: self.incarnation,
-            revision: told.revision,
+            revision: update.revision,
         };
-        let records = told.records;
+        let records = update.records;
         Some(CrashState { known, records })
     }
 
-    fn on_told(&self, records: Vec<CrashReport>, source: &'static str) {
+    fn merge_reports(&self, records: Vec<CrashReport>, source: &'static str) {
         if records.is_empty() {
             return;
         }
         let count = records.len();
         let now_ms = self.clock.now_ms();
-        let has_changed = self.book().on_told(now_ms, records);
+        let has_changed = self.tracker().on_told(now_ms, records);
         if has_changed {
             info!(self.log, "crashes advertised"; "ends" => count, "source" => source,
-                "revision" => self.book().revision());
+                "revision" => self.tracker().revision());
             self.changed.notify_one();
         }
     }
@@ -356,18 +365,18 @@
     }
 
     /// Waits up to `timeout` until those crashes are loaded; returns whether they are.
-    pub(super) async fn loaded(&self, longest: Duration) -> bool {
+    pub(super) async fn wait_loaded(&self, timeout: Duration) -> bool {
         if *self.is_loaded.borrow() {
             return true;
         }
         let mut is_loaded = self.is_loaded.subscribe();
         let loaded = is_loaded.wait_for(|is_loaded| *is_loaded);
-        time::timeout(longest, loaded).await.is_ok()
+        time::timeout(timeout, loaded).await.is_ok()
     }
 
     /// Locks the crash tracker. Must not be held across an await.
-    pub(super) fn book(&self) -> MutexGuard<'_, CrashTracker> {
-        lock(&self.book)
+    pub(super) fn tracker(&self) -> MutexGuard<'_, CrashTracker> {
+        lock(&self.tracker)
     }
 
     fn permits(&self) -> MutexGuard<'_, Permits> {
--- a/crates/server/src/gateway/admitting.rs
+++ b/crates/server/src/gateway/quarantine_check.rs
@@ -7,9 +7,9 @@
 use slog::info;
 
 use super::{
-    answers::Why,
     forward::Forwarder,
-    quarantine::{Asked, HeldPermit},
+    local_reply::FailureReason,
+    quarantine::{PermitGuard, PermitOutcome},
     request::CallerRequest,
 };
 use crate::suspects::{self, CountedBy, Reason};
@@ -25,31 +25,36 @@
     /// Admits a request. A suspect needs a permit, which `permit` holds from then on.
     /// Called before every send, as the request may have become a suspect since the last
     /// one.
-    pub(super) async fn admit(
+    pub(super) async fn check_quarantine(
         &self,
         caller: &CallerRequest,
-        permit: &mut Option<HeldPermit>,
-    ) -> Result<(), Why> {
+        permit: &mut Option<PermitGuard>,
+    ) -> Result<(), FailureReason> {
         // Crashes known to other instances are loaded some ms after the start. Without
         // them, the first copies after a loss of all instances would crash three more
         // servers.
-        self.quarantine.loaded(LEARN_TIMEOUT).await;
+        self.quarantine.wait_loaded(LEARN_TIMEOUT).await;
         match self.quarantine.standing(&caller.digest) {
             Standing::Clear => Ok(()),
-            Standing::Quarantined { .. } => Err(self.refuse_quarantined(caller, CountedBy::Own)),
+            Standing::Quarantined { .. } => Err(self.reject_quarantined(caller, CountedBy::Own)),
             Standing::Suspect { .. } if permit.is_some() => Ok(()),
             Standing::Suspect { ends } => {
-                let asked = self.quarantine.ask(caller.digest, caller.left()).await;
-                match asked {
-                    Asked::Granted(held) => {
+                let outcome = self
+                    .quarantine
+                    .request_permit(caller.digest, caller.time_left())
+                    .await;
+                match outcome {
+                    PermitOutcome::Granted(granted) => {
                         info!(self.log, "suspect admitted"; "request" => %caller.id,
                             "digest" => %caller.digest, "ends" => ends);
-                        *permit = Some(held);
+                        *permit = Some(granted);
                         Ok(())
                     }
-                    Asked::Out(lapses_in) => Err(self.refuse_copy(caller, ends, lapses_in)),
-                    Asked::Quarantined(counted_by) => {
-                        Err(self.refuse_quarantined(caller, counted_by))
+                    PermitOutcome::CopyRunning(expires_in) => {
+                        Err(self.reject_copy(caller, ends, expires_in))
+                    }
+                    PermitOutcome::Quarantined(counted_by) => {
+                        Err(self.reject_quarantined(caller, counted_by))
                     }
                 }
             }
@@ -57,17 +62,20 @@
     }
 
     /// Asks the scheduler why it refused the stages of a request that crashes servers.
-    pub(super) async fn learn_why(&self, caller: &CallerRequest) -> Why {
+    pub(super) async fn query_quarantine_reason(&self, caller: &CallerRequest) -> FailureReason {
         // If a permit is granted after all, it is returned at once.
-        let asked = self.quarantine.ask(caller.digest, Duration::ZERO).await;
-        let counted_by = match asked {
-            Asked::Quarantined(counted_by) => counted_by,
-            Asked::Granted(_) | Asked::Out(_) => CountedBy::Scheduler,
+        let outcome = self
+            .quarantine
+            .request_permit(caller.digest, Duration::ZERO)
+            .await;
+        let counted_by = match outcome {
+            PermitOutcome::Quarantined(counted_by) => counted_by,
+            PermitOutcome::Granted(_) | PermitOutcome::CopyRunning(_) => CountedBy::Scheduler,
         };
-        self.refuse_quarantined(caller, counted_by)
+        self.reject_quarantined(caller, counted_by)
     }
 
-    fn refuse_quarantined(&self, caller: &CallerRequest, counted_by: CountedBy) -> Why {
+    fn reject_quarantined(&self, caller: &CallerRequest, counted_by: CountedBy) -> FailureReason {
         let standing = self.quarantine.standing(&caller.digest);
         let retry_after_ms = match standing {
             Standing::Quarantined { retry_after_ms, .. } => Some(retry_after_ms),
@@ -81,17 +89,22 @@
             counted_by,
             retry_after_ms,
         );
-        Why::EndsServers(retry_after_ms)
+        FailureReason::EndsServers(retry_after_ms)
     }
 
-    fn refuse_copy(&self, caller: &CallerRequest, ends: u32, lapses_in: Duration) -> Why {
-        let usual_ms = self.answer_time(caller).as_millis() as u64;
-        let lapses_in_ms = lapses_in.as_millis() as u64;
-        let retry_after_ms = usual_ms.max(MIN_RETRY_AFTER_MS).min(lapses_in_ms);
-        info!(self.log, "copy of a suspect refused"; "request" => %caller.id,
+    fn reject_copy(
+        &self,
+        caller: &CallerRequest,
+        ends: u32,
+        expires_in: Duration,
+    ) -> FailureReason {
+        let usual_ms = self.usual_response_time(caller).as_millis() as u64;
+        let expires_in_ms = expires_in.as_millis() as u64;
+        let retry_after_ms = usual_ms.max(MIN_RETRY_AFTER_MS).min(expires_in_ms);
+        info!(self.log, "copy of suspect rejected"; "request" => %caller.id,
             "digest" => %caller.digest, "ends" => ends, "ends_from" => CountedBy::Scheduler.as_str(),
             "retry_after_ms" => retry_after_ms);
         suspects::count_refusal(Reason::CopyRuns);
-        Why::CopyRuns(retry_after_ms)
+        FailureReason::CopyRuns(retry_after_ms)
     }
 }
--- a/crates/server/src/gateway/keeping.rs
+++ b/crates/server/src/gateway/quarantine_store.rs
@@ -19,16 +19,16 @@
 /// routes and servers, so that its first requests hardly wait. With 150 ms they had too
 /// little time left for their stages on a busy machine (11 of 20 runs of a test beside
 /// ten busy processes).
-const TOLD_WITHIN: Duration = Duration::from_millis(30);
+const PEER_TIMEOUT: Duration = Duration::from_millis(30);
 /// Longest time between two checks for requests to persist or to expire.
-const LOOK_INTERVAL: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Delay after a wakeup, so that changes that arrive together are written together.
-const GATHER_TIME: Duration = Duration::from_millis(50);
+const BATCH_DELAY: Duration = Duration::from_millis(50);
 
 /// Persists quarantined requests in the store. Only the scheduler reads and writes there:
 /// one read when it becomes the scheduler and one write per request, with no polling in
 /// between.
-pub(super) struct Keeper {
+pub(super) struct QuarantineStore {
     pub(super) quarantine: Arc<Quarantine>,
     pub(super) members: Arc<Members>,
     pub(super) store: StoreClient,
@@ -38,15 +38,15 @@
     pub(super) log: Logger,
 }
 
-impl Keeper {
+impl QuarantineStore {
     /// Loads the crashes that were known before this instance started, from the scheduler
     /// or, if that does not send them in time, from the store.
-    pub(super) async fn learn(self: Arc<Self>) {
-        if self.quarantine.loaded(TOLD_WITHIN).await {
+    pub(super) async fn load(self: Arc<Self>) {
+        if self.quarantine.wait_loaded(PEER_TIMEOUT).await {
             return;
         }
         if !self.read().await {
-            warn!(self.log, "requests that end servers not known yet");
+            warn!(self.log, "known crashes not loaded yet");
         }
         self.quarantine.on_loaded();
     }
@@ -57,19 +57,19 @@
         if has_read {
             self.quarantine.on_loaded();
         }
-        let mut kept_to = 0;
+        let mut persisted_revision = 0;
         let mut era = self.store.era();
         loop {
             let changed = self.quarantine.changed.notified();
-            let look = if self.is_waited_for(has_read) {
-                GATHER_TIME
+            let max_wait = if self.is_read_pending(has_read) {
+                BATCH_DELAY
             } else {
-                LOOK_INTERVAL
+                CHECK_INTERVAL
             };
             // A change and the timeout have the same effect.
-            let _ = time::timeout(look, changed).await;
-            time::sleep(GATHER_TIME).await;
-            self.quarantine.book().forget_old(self.clock.now_ms());
+            let _ = time::timeout(max_wait, changed).await;
+            time::sleep(BATCH_DELAY).await;
+            self.quarantine.tracker().forget_old(self.clock.now_ms());
             if self.members.reader() != Reader::Scheduler {
                 // Another instance writes meanwhile.
                 has_read = false;
@@ -77,31 +77,31 @@
             }
             if era != self.store.era() {
                 era = self.store.era();
-                info!(self.log, "quarantine to be kept again"; "era" => era);
-                self.quarantine.book().on_store_lost();
+                info!(self.log, "quarantine has to be persisted again"; "era" => era);
+                self.quarantine.tracker().on_store_lost();
                 has_read = false;
-                kept_to = 0;
+                persisted_revision = 0;
             }
             if !has_read {
                 has_read = self.read().await;
                 // Without the store, the reports of the other instances have to do.
                 self.quarantine.on_loaded();
             }
-            let revision = self.quarantine.book().revision();
-            if has_read && kept_to != revision && self.write_all().await {
-                kept_to = revision;
+            let revision = self.quarantine.tracker().revision();
+            if has_read && persisted_revision != revision && self.write_all().await {
+                persisted_revision = revision;
             }
         }
     }
 
     /// Returns whether this instance is the scheduler and has not read the store yet.
-    fn is_waited_for(&self, has_read: bool) -> bool {
+    fn is_read_pending(&self, has_read: bool) -> bool {
         !has_read && self.members.reader() == Reader::Scheduler
     }
 
     /// Reads the persisted requests; returns whether that succeeded.
     async fn read(&self) -> bool {
-        if self.store.begin().is_err() {
+        if self.store.try_begin().is_err() {
             return false;
         }
         let records = match self.store.newest(Topic::Quarantine).await {
@@ -116,30 +116,30 @@
             match quarantine::decode_kept(record) {
                 Ok(kept) => stored.extend(kept),
                 Err(err) => {
-                    warn!(self.log, "quarantined request not understood"; "key" => &record.key,
+                    warn!(self.log, "invalid quarantine entry"; "key" => &record.key,
                         "error" => %err);
                 }
             }
         }
         info!(self.log, "quarantine read"; "requests" => stored.len());
         let now_ms = self.clock.now_ms();
-        self.quarantine.book().on_stored(now_ms, stored);
+        self.quarantine.tracker().on_stored(now_ms, stored);
         true
     }
 
     /// Writes the requests that are not persisted yet; returns whether all of them are
     /// now.
     async fn write_all(&self) -> bool {
-        let to_keep = self.quarantine.book().to_keep();
-        for stored in to_keep {
+        let unpersisted = self.quarantine.tracker().to_keep();
+        for stored in unpersisted {
             if let Err(err) = self.write(&stored).await {
-                warn!(self.log, "quarantine not kept"; "digest" => %stored.digest,
+                warn!(self.log, "quarantine not persisted"; "digest" => %stored.digest,
                     "error" => %err);
                 return false;
             }
             info!(self.log, "quarantine kept"; "digest" => %stored.digest,
                 "ends" => stored.ends.len());
-            self.quarantine.book().on_kept(&stored);
+            self.quarantine.tracker().on_kept(&stored);
         }
         true
     }
--- a/crates/server/src/gateway/relay.rs
+++ b/crates/server/src/gateway/relay.rs
@@ -26,17 +26,17 @@
 };
 
 use super::{
-    attempt::{InFlight, Sent, ServerEnd, Stream, keep},
+    attempt::{InFlight, SendOutcome, ServerOutcome, Stream, return_to_pool},
     forward::{Forwarder, Inputs},
-    quarantine::HeldPermit,
+    quarantine::PermitGuard,
     request::CallerRequest,
 };
 use crate::{connections::Lease, http_body::Body};
 
 /// Number of frames that are buffered for a slow caller.
-const WAITING_FRAMES: usize = 16;
+const FRAME_BUFFER_LEN: usize = 16;
 /// Largest event that is buffered, in bytes.
-const MOST_EVENT_BYTES: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Starts to forward a stream, and returns the response that carries it.
 pub(super) fn start(
@@ -45,13 +45,13 @@
     inputs: Inputs,
     stream: Box<Stream>,
     tried: Vec<BackendName>,
-    permit: Option<HeldPermit>,
+    permit: Option<PermitGuard>,
 ) -> Response<Body> {
-    let (sender, frames) = mpsc::channel(WAITING_FRAMES);
+    let (sender, frames) = mpsc::channel(FRAME_BUFFER_LEN);
     let (mut parts, body) = stream.response.into_parts();
     parts.headers = answer::forward(&parts.headers);
     parts.headers.remove(http::header::CONTENT_LENGTH);
-    let events = Events::new(caller.is_resumable());
+    let events = EventSplitter::new(caller.is_resumable());
     let relay = Relay {
         forwarder,
         caller,
@@ -59,7 +59,7 @@
         tried,
         permit,
         events,
-        pace: Pace::default(),
+        timing: EventTiming::default(),
         sender,
         source: Source {
             body,
@@ -103,22 +103,22 @@
     inputs: Inputs,
     tried: Vec<BackendName>,
     /// Permit to run the request, if servers have crashed under it.
-    permit: Option<HeldPermit>,
-    events: Events,
-    pace: Pace,
+    permit: Option<PermitGuard>,
+    events: EventSplitter,
+    timing: EventTiming,
     sender: mpsc::Sender<Result<Bytes, io::Error>>,
     source: Source,
 }
 
 /// Arrival times of events, for the log.
 #[derive(Clone, Copy, Debug, Default)]
-struct Pace {
+struct EventTiming {
     first_event_ms: Option<u64>,
     last_at: Option<Instant>,
     longest_gap_ms: u64,
 }
 
-impl Pace {
+impl EventTiming {
     /// Records events that arrived `elapsed_ms` after the request.
     fn on_events(&mut self, elapsed_ms: u64) {
         let now = Instant::now();
@@ -132,7 +132,7 @@
 
 /// Why a stream is no longer forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stop {
+enum StreamEnd {
     /// It is complete.
     Whole,
     /// The caller disconnected.
@@ -149,43 +149,46 @@
 
 impl Relay {
     async fn run(mut self) {
-        let stop = loop {
-            let stop = self.pass_on().await;
-            let goes_on = match stop {
-                Stop::Broken => self.may_go_on() && self.go_on().await,
-                Stop::Silent => self.go_on().await,
-                Stop::Whole | Stop::CallerGone | Stop::Overdue | Stop::Leaving => false,
+        let stream_end = loop {
+            let stream_end = self.forward_events().await;
+            let is_resumed = match stream_end {
+                StreamEnd::Broken => self.may_resume() && self.resume().await,
+                StreamEnd::Silent => self.resume().await,
+                StreamEnd::Whole
+                | StreamEnd::CallerGone
+                | StreamEnd::Overdue
+                | StreamEnd::Leaving => false,
             };
-            if !goes_on {
-                break stop;
+            if !is_resumed {
+                break stream_end;
             }
         };
         info!(self.forwarder.log, "stream ended"; "request" => %self.caller.id,
             "digest" => %self.caller.digest,
-            "route" => &self.caller.route().name, "end" => ?stop,
+            "route" => &self.caller.route().name, "end" => ?stream_end,
             "servers" => self.tried.len(), "events" => self.events.count,
             "goal_ms" => self.caller.route().goal_ms,
             "gap_goal_ms" => self.caller.route().event_gap_ms,
-            "first_event_ms" => self.pace.first_event_ms,
-            "longest_gap_ms" => self.pace.longest_gap_ms,
+            "first_event_ms" => self.timing.first_event_ms,
+            "longest_gap_ms" => self.timing.longest_gap_ms,
             "elapsed_ms" => self.caller.elapsed_ms());
-        metrics::counter!("savoryvane_streams_total", "end" => match stop {
-            Stop::Whole => "whole",
-            Stop::CallerGone => "caller_gone",
-            Stop::Overdue => "overdue",
-            Stop::Leaving => "leaving",
-            Stop::Broken => "broken",
-            Stop::Silent => "silent",
+        metrics::counter!("savoryvane_streams_total", "end" => match stream_end {
+            StreamEnd::Whole => "whole",
+            StreamEnd::CallerGone => "caller_gone",
+            StreamEnd::Overdue => "overdue",
+            StreamEnd::Leaving => "leaving",
+            StreamEnd::Broken => "broken",
+            StreamEnd::Silent => "silent",
         })
         .increment(1);
-        match stop {
-            Stop::Whole => {
+        match stream_end {
+            StreamEnd::Whole => {
                 if let Some(lease) = self.source.lease.take() {
-                    keep(lease, &self.source.head);
+                    return_to_pool(lease, &self.source.head);
                 }
             }
-            Stop::CallerGone => {}
-            Stop::Overdue | Stop::Leaving | Stop::Broken | Stop::Silent => {
+            StreamEnd::CallerGone => {}
+            StreamEnd::Overdue | StreamEnd::Leaving | StreamEnd::Broken | StreamEnd::Silent => {
                 let broken = io::Error::new(io::ErrorKind::ConnectionAborted, "stream broke off");
                 // The caller may have disconnected meanwhile.
                 let _ = self.sender.send(Err(broken)).await;
@@ -194,24 +197,24 @@
     }
 
     /// Forwards events until the stream stops.
-    async fn pass_on(&mut self) -> Stop {
-        let silence = Duration::from_millis(event_timeout_ms());
-        let mut is_waited_for = true;
-        let departure = Arc::clone(&self.forwarder.departure);
-        let process_ends = departure.nears(Duration::ZERO);
-        tokio::pin!(process_ends);
+    async fn forward_events(&mut self) -> StreamEnd {
+        let event_timeout = Duration::from_millis(event_timeout_ms());
+        let mut is_timer_armed = true;
+        let shutdown = Arc::clone(&self.forwarder.shutdown);
+        let process_exit = shutdown.wait_until_within(Duration::ZERO);
+        tokio::pin!(process_exit);
         loop {
             let frame = tokio::select! {
                 biased;
-                () = self.sender.closed() => return Stop::CallerGone,
+                () = self.sender.closed() => return StreamEnd::CallerGone,
                 frame = self.source.body.frame() => frame,
-                () = time::sleep_until(self.caller.deadline) => return Stop::Overdue,
-                () = &mut process_ends => return Stop::Leaving,
-                () = time::sleep(silence), if is_waited_for => {
-                    is_waited_for = false;
-                    if self.may_go_on() {
-                        self.leave_silent(silence);
-                        return Stop::Silent;
+                () = time::sleep_until(self.caller.deadline) => return StreamEnd::Overdue,
+                () = &mut process_exit => return StreamEnd::Leaving,
+                () = time::sleep(event_timeout), if is_timer_armed => {
+                    is_timer_armed = false;
+                    if self.may_resume() {
+                        self.abandon_silent_server(event_timeout);
+                        return StreamEnd::Silent;
                     }
                     continue;
                 }
@@ -222,82 +225,85 @@
                     warn!(self.forwarder.log, "stream broke off"; "request" => %self.caller.id,
                         "events" => self.events.count, "error" => %err);
                     if let Some(server) = self.source.server.take() {
-                        self.forwarder.on_lost(&self.caller, server).await;
+                        self.forwarder
+                            .on_connection_lost(&self.caller, server)
+                            .await;
                     }
-                    return Stop::Broken;
+                    return StreamEnd::Broken;
                 }
                 None => {
                     self.forwarder.quarantine.on_answered(self.caller.digest);
-                    self.end(ServerEnd::Answered);
-                    let rest = self.events.take_rest();
+                    self.record_outcome(ServerOutcome::Answered);
+                    let remaining = self.events.take_remaining();
                     return self
-                        .give(rest)
+                        .send_to_caller(remaining)
                         .await
-                        .map_or(Stop::CallerGone, |()| Stop::Whole);
+                        .map_or(StreamEnd::CallerGone, |()| StreamEnd::Whole);
                 }
             };
             // An engine that responds with events has read its inputs.
-            self.inputs.held = None;
-            let whole = self.events.push(bytes);
-            if !whole.is_empty() {
-                self.pace.on_events(self.caller.elapsed_ms());
+            self.inputs.guard = None;
+            let complete = self.events.push(bytes);
+            if !complete.is_empty() {
+                self.timing.on_events(self.caller.elapsed_ms());
             }
-            if self.give(whole).await.is_none() {
-                return Stop::CallerGone;
+            if self.send_to_caller(complete).await.is_none() {
+                return StreamEnd::CallerGone;
             }
         }
     }
 
-    async fn give(&self, bytes: Bytes) -> Option<()> {
+    async fn send_to_caller(&self, bytes: Bytes) -> Option<()> {
         if bytes.is_empty() {
             return Some(());
         }
         self.sender.send(Ok(bytes)).await.ok()
     }
 
-    fn end(&mut self, end: ServerEnd) {
+    fn record_outcome(&mut self, outcome: ServerOutcome) {
         if let Some(server) = self.source.server.take() {
-            server.end(end);
+            server.end(outcome);
         }
     }
 
     /// Returns whether another server may resume the stream, and takes a retry from the
     /// budget if so.
-    fn may_go_on(&self) -> bool {
+    fn may_resume(&self) -> bool {
         let caller = &self.caller;
         caller.is_resumable()
             && (self.tried.len() as u32) < caller.route().max_servers
             && self
                 .forwarder
-                .may_repeat_elsewhere(caller, &self.inputs, &self.tried)
+                .try_repeat_elsewhere(caller, &self.inputs, &self.tried)
     }
 
     /// Closes the connection to a server that has paused too long, which makes the server
     /// cancel the request.
-    fn leave_silent(&mut self, waited: Duration) {
+    fn abandon_silent_server(&mut self, waited: Duration) {
         self.source.lease = None;
         if let Some(server) = self.source.server.take() {
             let name = server.server.id.clone();
             drop(server);
-            self.forwarder.give_up(&self.caller, &name, waited);
+            self.forwarder
+                .on_server_abandoned(&self.caller, &name, waited);
         }
     }
 
     /// Resumes the stream at another server after the last complete event.
-    async fn go_on(&mut self) -> bool {
+    async fn resume(&mut self) -> bool {
         self.source.lease = None;
         let caller = &self.caller;
-        self.events.drop_rest();
+        self.events.discard_partial();
         if self
             .forwarder
-            .admit(caller, &mut self.permit)
+            .check_quarantine(caller, &mut self.permit)
             .await
             .is_err()
         {
             // The reason has been logged.
             return false;
         }
-        if self.inputs.are_gone() {
+        if self.inputs.are_released() {
             match self.forwarder.run_stages(caller).await {
                 Ok(inputs) => self.inputs = inputs,
                 Err(_) => return false,
@@ -316,7 +322,7 @@
         let sent = self
             .forwarder
             .send_once(caller, &self.inputs, &server, last.as_deref());
-        let Ok(Sent::Stream(stream)) = time::timeout_at(caller.deadline, sent).await else {
+        let Ok(SendOutcome::Stream(stream)) = time::timeout_at(caller.deadline, sent).await else {
             return false;
         };
         info!(self.forwarder.log, "stream resumed"; "request" => %caller.id,
@@ -332,18 +338,18 @@
 }
 
 /// Splits a stream into events if it is resumable.
-struct Events {
+struct EventSplitter {
     /// Whether only complete events are forwarded.
-    are_gathered: bool,
+    is_buffering: bool,
     buffer: BytesMut,
     count: u64,
     last_id: Option<String>,
 }
 
-impl Events {
-    fn new(are_gathered: bool) -> Self {
+impl EventSplitter {
+    fn new(is_buffering: bool) -> Self {
         Self {
-            are_gathered,
+            is_buffering,
             buffer: BytesMut::new(),
             count: 0,
             last_id: None,
@@ -352,42 +358,42 @@
 
     /// Adds bytes, and returns those that can be forwarded.
     fn push(&mut self, bytes: Bytes) -> Bytes {
-        if !self.are_gathered {
+        if !self.is_buffering {
             self.count += 1;
             return bytes;
         }
         self.buffer.extend_from_slice(&bytes);
-        let Some(end) = last_end(&self.buffer) else {
-            if self.buffer.len() > MOST_EVENT_BYTES {
-                self.are_gathered = false;
+        let Some(end) = last_event_end(&self.buffer) else {
+            if self.buffer.len() > MAX_EVENT_BYTES {
+                self.is_buffering = false;
                 return self.buffer.split().freeze();
             }
             return Bytes::new();
         };
-        let whole = self.buffer.split_to(end).freeze();
-        for line in whole.split(|byte| *byte == b'\n') {
+        let complete = self.buffer.split_to(end).freeze();
+        for line in complete.split(|byte| *byte == b'\n') {
             if let Some(id) = line.strip_prefix(b"id:") {
                 let id = String::from_utf8_lossy(id).trim().to_owned();
                 self.last_id = Some(id);
                 self.count += 1;
             }
         }
-        whole
+        complete
     }
 
     /// Returns the remaining bytes after the end of the stream.
-    fn take_rest(&mut self) -> Bytes {
+    fn take_remaining(&mut self) -> Bytes {
         self.buffer.split().freeze()
     }
 
-    fn drop_rest(&mut self) {
+    fn discard_partial(&mut self) {
         self.buffer.clear();
     }
 }
 
 /// Returns the end of the last complete event.
-fn last_end(buffer: &[u8]) -> Option<usize> {
-    let double = buffer.windows(2).rposition(|pair| pair == b"\n\n");
-    let crossed = buffer.windows(4).rposition(|four| four == b"\r\n\r\n");
-    double.map(|at| at + 2).max(crossed.map(|at| at + 4))
+fn last_event_end(buffer: &[u8]) -> Option<usize> {
+    let lf_end = buffer.windows(2).rposition(|pair| pair == b"\n\n");
+    let crlf_end = buffer.windows(4).rposition(|four| four == b"\r\n\r\n");
+    lf_end.map(|at| at + 2).max(crlf_end.map(|at| at + 4))
 }
--- a/crates/server/src/gateway/request.rs
+++ b/crates/server/src/gateway/request.rs
@@ -58,7 +58,7 @@
         self.head.prompt.as_ref().filter(|_| has_prompts)
     }
 
-    pub(super) fn left(&self) -> Duration {
+    pub(super) fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
@@ -74,7 +74,7 @@
         last_event: Option<&str>,
     ) -> Request<Full<Bytes>> {
         let forwarded = Forwarded {
-            left_ms: self.left().as_millis() as u64,
+            left_ms: self.time_left().as_millis() as u64,
             server,
             workspace: self.matched.workspace.as_ref(),
             inputs,
@@ -90,24 +90,24 @@
 
 /// Chooses the service of a request by weight among the targets of its route: always the
 /// same one for a session, so that its prompts stay cached.
-pub(super) fn service(route: &Route, head: &RequestHead) -> Option<PoolName> {
+pub(super) fn choose_service(route: &Route, head: &RequestHead) -> Option<PoolName> {
     let total: u64 = route.targets.iter().map(|t| u64::from(t.weight)).sum();
     let session = head.prompt.as_ref().and_then(Prompt::session);
     let id = head.id.as_ref().map_or("", RequestId::as_str);
     let hash = session.unwrap_or_else(|| xxh3_64(id.as_bytes()));
-    let mut at = xxh3_64(&hash.to_le_bytes()) % total.max(1);
+    let mut point = xxh3_64(&hash.to_le_bytes()) % total.max(1);
     for target in &route.targets {
         let weight = u64::from(target.weight);
-        if at < weight {
+        if point < weight {
             return Some(target.service.clone());
         }
-        at -= weight;
+        point -= weight;
     }
     route.targets.first().map(|target| target.service.clone())
 }
 
 /// Returns the host that a request is addressed to.
-pub(super) fn host<B>(request: &Request<B>) -> &str {
+pub(super) fn request_host<B>(request: &Request<B>) -> &str {
     let header = request.headers().get(header::HOST);
     request
         .uri()
--- a/crates/server/src/gateway/knowledge.rs
+++ b/crates/server/src/gateway/routing_view.rs
@@ -29,31 +29,31 @@
 
 /// Servers of a service and availability zone that one instance uses: all, so that every
 /// instance finds the same home server for a session.
-const ALL_SERVERS: usize = 4_096;
+const SUBSET_SIZE: usize = 4_096;
 /// Largest part of a service's servers that is ejected for failing, in per cent: with
 /// more, the fault is more likely on the network path to them.
-const EJECTED_PERCENT_MAX: u32 = 50;
+const MAX_EJECTED_PERCENT: u32 = 50;
 
 /// Time for servers to write their entries again after the store was unavailable or was
 /// restored from a copy, in ms: the 2 s of the platform, and a read, a query to the
 /// reading instance and a response of a slow store, until the last entry written in that
 /// time is known to all.
-pub(super) const WRITTEN_AGAIN_WITHIN_MS: u64 = 3_200;
+pub(super) const REWRITE_WINDOW_MS: u64 = 3_200;
 
 /// An instance's view of routes and backend servers.
 #[derive(Debug)]
-pub(super) struct Knowledge {
+pub(super) struct RoutingView {
     pub(super) log: Logger,
     clock: Clock,
     table: ArcSwapOption<RouteTable>,
     /// Latest version of the routes that another instance has advertised.
-    told_version: AtomicU64,
+    advertised_version: AtomicU64,
     directory: Mutex<Directory>,
     evacuations: Mutex<Evacuations>,
     fleet: Mutex<Fleet>,
     budgets: Mutex<RepeatBudgets>,
     deadlines: Mutex<UsualDeadlines>,
-    answer_times: Mutex<AnswerTimes>,
+    response_times: Mutex<AnswerTimes>,
     fetch_times: Mutex<FetchTimes>,
     /// Unknown header names in servers' responses that have been logged.
     pub(super) unknown_headers: Mutex<HashSet<HeaderName>>,
@@ -63,11 +63,11 @@
     limits_changed: Notify,
 }
 
-impl Knowledge {
+impl RoutingView {
     pub(super) fn new(settings: &GatewaySettings, clock: Clock, log: Logger) -> Self {
         let policy = PolicySettings {
-            subset_size: ALL_SERVERS,
-            ejected_percent_max: EJECTED_PERCENT_MAX,
+            subset_size: SUBSET_SIZE,
+            ejected_percent_max: MAX_EJECTED_PERCENT,
             ..PolicySettings::default()
         };
         let fleet = Fleet::new(
@@ -80,13 +80,13 @@
             log,
             clock,
             table: ArcSwapOption::empty(),
-            told_version: AtomicU64::new(0),
+            advertised_version: AtomicU64::new(0),
             directory: Mutex::default(),
             evacuations: Mutex::default(),
             fleet: Mutex::new(fleet),
             budgets: Mutex::new(RepeatBudgets::new(settings.repeats)),
             deadlines: Mutex::default(),
-            answer_times: Mutex::default(),
+            response_times: Mutex::default(),
             fetch_times: Mutex::default(),
             unknown_headers: Mutex::default(),
             changed: Notify::new(),
@@ -113,13 +113,14 @@
     }
 
     /// Records that another instance has version `version` of the routes.
-    pub(super) fn on_version_told(&self, version: u64) {
-        self.told_version.fetch_max(version, Ordering::Relaxed);
+    pub(super) fn on_version_advertised(&self, version: u64) {
+        self.advertised_version
+            .fetch_max(version, Ordering::Relaxed);
     }
 
     /// Returns whether another instance has later routes.
     pub(super) fn is_behind(&self) -> bool {
-        self.told_version.load(Ordering::Relaxed) > self.version()
+        self.advertised_version.load(Ordering::Relaxed) > self.version()
     }
 
     /// Locks the state of the backend servers. Must not be held across an await.
@@ -155,8 +156,8 @@
     }
 
     /// Locks the response times of the routes. Must not be held across an await.
-    pub(super) fn answer_times(&self) -> MutexGuard<'_, AnswerTimes> {
-        lock(&self.answer_times)
+    pub(super) fn response_times(&self) -> MutexGuard<'_, AnswerTimes> {
+        lock(&self.response_times)
     }
 
     /// Locks the times that engines need to fetch results. Must not be held across an
@@ -193,7 +194,7 @@
         let now_ms = self.clock.now_ms();
         self.change_evacuations("store", |evacuations| {
             let cursor = batch.cursor(evacuations.cursor());
-            if batch.is_whole {
+            if batch.is_snapshot {
                 let listed = records.filter(|(_, is_evacuated, _)| *is_evacuated);
                 let listed = listed.map(|(zone, _, position)| (zone, position));
                 evacuations.apply_listing(now_ms, listed, cursor);
@@ -207,9 +208,9 @@
     }
 
     /// Merges a peer's evacuations, if it knows more.
-    pub(super) fn update_evacuations(&self, told: EvacuationState) {
+    pub(super) fn update_evacuations(&self, state: EvacuationState) {
         let now_ms = self.clock.now_ms();
-        self.change_evacuations("peer", |evacuations| evacuations.update(now_ms, told));
+        self.change_evacuations("peer", |evacuations| evacuations.update(now_ms, state));
     }
 
     fn change_evacuations(&self, source: &'static str, change: impl FnOnce(&mut Evacuations)) {
@@ -232,14 +233,14 @@
                 "position" => %cursor, "source" => source);
         }
         for zone in before.difference(&after) {
-            info!(self.log, "availability zone in service again"; "returned" => %zone,
+            info!(self.log, "availability zone no longer evacuated"; "returned" => %zone,
                 "position" => %cursor, "source" => source);
         }
         metrics::counter!("savoryvane_evacuation_changes_total").increment(1);
         metrics::gauge!("savoryvane_evacuated_zones").set(after.len() as f64);
         self.configure_fleet();
         // Servers that received no requests meanwhile may have become cold.
-        self.for_cold_starts(|cold, now_ms, entry, cold_start| {
+        self.for_each_cold_start(|cold, now_ms, entry, cold_start| {
             if before.contains(&entry.zone) && !after.contains(&entry.zone) {
                 let left_ms = cold_start.duration_ms;
                 cold.on_cold(now_ms, &entry.id, left_ms, cold_start.requests_per_s);
@@ -249,7 +250,7 @@
 
     /// Removes the servers and evacuations that were not written again in time after an
     /// outage.
-    pub(super) fn settle(&self) {
+    pub(super) fn remove_lapsed(&self) {
         let now_ms = self.clock.now_ms();
         let lapsed = self.directory().remove_lapsed(now_ms);
         if !lapsed.is_empty() {
@@ -299,10 +300,10 @@
         let (has_changed, lapsing) = {
             let mut directory = self.directory();
             let has_changed =
-                directory.update_after_outage(listing, cursor, now_ms + WRITTEN_AGAIN_WITHIN_MS);
+                directory.update_after_outage(listing, cursor, now_ms + REWRITE_WINDOW_MS);
             (has_changed, directory.lapsing(now_ms).len())
         };
-        info!(self.log, "servers after an outage"; "servers" => count, "lapsing" => lapsing,
+        info!(self.log, "servers listed after an outage"; "servers" => count, "lapsing" => lapsing,
             "position" => %cursor);
         if has_changed {
             self.configure_fleet();
@@ -310,7 +311,7 @@
     }
 
     /// Merges a peer's set of lapsing servers.
-    pub(super) fn on_lapsing_told(&self, lapsing: &[LapsingServer]) {
+    pub(super) fn on_lapsing_advertised(&self, lapsing: &[LapsingServer]) {
         let now_ms = self.clock.now_ms();
         self.directory().on_lapsing(now_ms, lapsing);
     }
@@ -323,7 +324,7 @@
         cursor: Cursor,
         source: &'static str,
     ) {
-        let (count, is_whole) = match &update {
+        let (count, is_snapshot) = match &update {
             DirectoryUpdate::Whole(listing) => (listing.len(), true),
             DirectoryUpdate::Changes(changes) => (changes.len(), false),
         };
@@ -334,7 +335,7 @@
         let has_changed = match update {
             DirectoryUpdate::Whole(listing) if is_of_copy => {
                 // A peer that has only read the copy knows no more than the copy.
-                let gone_at_ms = now_ms + WRITTEN_AGAIN_WITHIN_MS;
+                let gone_at_ms = now_ms + REWRITE_WINDOW_MS;
                 directory.update_after_outage(listing, cursor.continued_from(known), gone_at_ms)
             }
             update => directory.update_to(update, cursor),
@@ -342,7 +343,7 @@
         let revision = directory.revision();
         drop(directory);
         if has_changed {
-            info!(self.log, "servers changed"; "servers" => count, "whole" => is_whole,
+            info!(self.log, "servers changed"; "servers" => count, "whole" => is_snapshot,
                 "revision" => revision, "position" => %cursor, "source" => source);
             self.configure_fleet();
         }
@@ -351,7 +352,7 @@
     /// Applies the rate limit named in the response to a request sent at `sent_at_ms`.
     pub(super) fn on_limit(&self, server: &BackendName, sent_at_ms: u64, named: NamedLimit) {
         if named == NamedLimit::Unreadable {
-            self.note_unreadable(server, "server-limit");
+            self.log_unreadable_signal(server, "server-limit");
         }
         let now_ms = self.clock.now_ms();
         let change = {
@@ -359,7 +360,7 @@
             fleet.limits().on_answer(now_ms, sent_at_ms, server, named)
         };
         if let Some(change) = change {
-            self.note_limit(server, change, "its answer");
+            self.log_limit_change(server, change, "its answer");
         }
     }
 
@@ -367,7 +368,7 @@
     pub(super) fn update_limits(&self, reports: Vec<LimitReport>) {
         let now_ms = self.clock.now_ms();
         let changes = self.fleet().limits().on_reports(now_ms, reports);
-        self.note_limits(&changes);
+        self.log_limit_changes(&changes);
     }
 
     /// Merges the rate limit reports of another instance, which knows this one's up to
@@ -386,7 +387,7 @@
             let changes = limits.on_reports(now_ms, reports);
             (unknown, changes, limits.revision())
         };
-        self.note_limits(&changes);
+        self.log_limit_changes(&changes);
         (revision, unknown)
     }
 
@@ -399,13 +400,13 @@
         }
     }
 
-    fn note_limits(&self, changes: &[(BackendName, LimitChange)]) {
+    fn log_limit_changes(&self, changes: &[(BackendName, LimitChange)]) {
         for (server, change) in changes {
-            self.note_limit(server, *change, "peer");
+            self.log_limit_change(server, *change, "peer");
         }
     }
 
-    fn note_limit(&self, server: &BackendName, change: LimitChange, source: &'static str) {
+    fn log_limit_change(&self, server: &BackendName, change: LimitChange, source: &'static str) {
         let limited = self.fleet().limits().count();
         info!(self.log, "server limit changed"; "server" => %server,
             "limit_per_s" => change.after, "before" => change.before, "source" => source,
@@ -430,7 +431,7 @@
 
     /// Calls `visit` for each server whose service limits the request rate of cold
     /// servers.
-    fn for_cold_starts(&self, look: impl Fn(&mut ColdServers, u64, &ServerEntry, ColdStart)) {
+    fn for_each_cold_start(&self, visit: impl Fn(&mut ColdServers, u64, &ServerEntry, ColdStart)) {
         let Some(table) = self.table() else {
             return;
         };
@@ -448,7 +449,7 @@
         cold.retain(|server| directory.entry(server).is_some());
         for entry in directory.entries() {
             if let Some(cold_start) = cold_starts.get(&entry.service) {
-                look(cold, now_ms, entry, *cold_start);
+                visit(cold, now_ms, entry, *cold_start);
             }
         }
         metrics::gauge!("savoryvane_cold_servers").set(cold.count(now_ms) as f64);
@@ -467,7 +468,7 @@
         fleet.configure(&pools, &backends);
         fleet.on_listed_leaving(&closed);
         drop(fleet);
-        self.for_cold_starts(|cold, now_ms, entry, cold_start| {
+        self.for_each_cold_start(|cold, now_ms, entry, cold_start| {
             cold.on_entry(now_ms, entry, cold_start);
         });
         self.changed.notify_waiters();
--- a/crates/server/src/gateway/settings.rs
+++ b/crates/server/src/gateway/settings.rs
@@ -15,14 +15,14 @@
 };
 
 /// Maximum number of seeds.
-const MOST_SEEDS: usize = 64;
+const MAX_SEEDS: usize = 64;
 /// Longest allowed duration, in ms.
 const MAX_DURATION_MS: u64 = 600_000;
 /// Longest allowed duration, in s.
 const MAX_DURATION_S: f64 = 600.0;
 /// Time before the platform kills a process at which it exits itself, in ms: a process
 /// that is slow or short of CPU time can still write its last log lines.
-const KILL_SPARE_MS: u64 = 500;
+const KILL_MARGIN_MS: u64 = 500;
 
 /// Default for the times within which changes from the platform have to be in force: the
 /// shortest that any platform has required.
@@ -92,7 +92,7 @@
 impl GatewayDrain {
     /// Returns the time from the stop signal to the exit of the process, in ms.
     pub(crate) fn stop_after_ms(&self) -> u64 {
-        self.kill_after_ms.saturating_sub(KILL_SPARE_MS)
+        self.kill_after_ms.saturating_sub(KILL_MARGIN_MS)
     }
 
     /// Returns the time for which connections are still accepted, in ms: as set, but at
@@ -129,7 +129,7 @@
     let region = fields.name("region").map(RegionName::new);
     let listen = fields.section("listen", read_listen);
     let store = fields.addr("store");
-    let seeds = fields.list("seeds", 0..=MOST_SEEDS, |item| item.addr());
+    let seeds = fields.list("seeds", 0..=MAX_SEEDS, |item| item.addr());
     let is_first_start = fields.or("first_start", false, |fields, at| fields.bool(at));
     let cores = fields.f64("cores", 0.01..=1_024.0);
     let repeats = fields.section("repeats", read_repeats);
--- a/crates/server/src/gateway/signals.rs
+++ b/crates/server/src/gateway/signals.rs
@@ -10,7 +10,7 @@
 use savoryvane_platform::answer::AnswerHead;
 use slog::{info, warn};
 
-use super::knowledge::Knowledge;
+use super::routing_view::RoutingView;
 use crate::lock::lock;
 
 /// Maximum number of unknown header names that are remembered.
@@ -18,7 +18,7 @@
 
 /// What a response responds to.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Answered<'a> {
+pub(super) enum ResponseTo<'a> {
     /// A caller's request.
     Request(&'a RequestId),
     /// A call to run pieces of stages.
@@ -38,12 +38,12 @@
     BackingOff(u64),
 }
 
-impl Answered<'_> {
+impl ResponseTo<'_> {
     /// Returns whether a response belongs to the request or call, as far as its head
     /// shows.
-    fn is_answered_by(self, head: &AnswerHead) -> bool {
+    fn matches(self, head: &AnswerHead) -> bool {
         match (self, &head.id) {
-            (Self::Request(id), Some(answered)) => id == answered,
+            (Self::Request(id), Some(responds_to)) => id == responds_to,
             (Self::Request(_) | Self::Call(_) | Self::Free, _) => true,
         }
     }
@@ -63,22 +63,22 @@
     }
 }
 
-impl Knowledge {
+impl RoutingView {
     /// Applies the signals in the head of a response of `server` to the request or call
     /// that was sent at `sent_at_ms`.
-    pub(super) fn on_answer_head(
+    pub(super) fn on_response_head(
         &self,
         server: &BackendName,
         sent_at_ms: u64,
-        answered: Answered<'_>,
+        responds_to: ResponseTo<'_>,
         head: &AnswerHead,
     ) {
-        self.note_unknown(server, &head.unknown);
+        self.log_unknown_headers(server, &head.unknown);
         if head.is_misdirected {
             // Another run has the address, and its signals describe that run.
             self.on_leaving(server, "another run at its address");
-        } else if answered.is_answered_by(head) {
-            self.on_signals(server, sent_at_ms, answered, head);
+        } else if responds_to.matches(head) {
+            self.on_signals(server, sent_at_ms, responds_to, head);
         }
     }
 
@@ -86,7 +86,7 @@
         &self,
         server: &BackendName,
         sent_at_ms: u64,
-        answered: Answered<'_>,
+        responds_to: ResponseTo<'_>,
         head: &AnswerHead,
     ) {
         let signals = head.signals;
@@ -94,12 +94,12 @@
             Departure::None => {}
             Departure::Leaving => {
                 info!(self.log, "server says that it leaves"; "server" => %server,
-                    "request" => answered.request(), "call" => answered.call(),
+                    "request" => responds_to.request(), "call" => responds_to.call(),
                     "sent_at_ms" => sent_at_ms);
                 metrics::counter!("savoryvane_departures_said_total").increment(1);
                 self.on_leaving(server, "its answer");
             }
-            Departure::Unreadable => self.note_unreadable(server, "server-leaving"),
+            Departure::Unreadable => self.log_unreadable_signal(server, "server-leaving"),
         }
         match signals.backoff {
             BackoffRequest::None => {}
@@ -111,13 +111,13 @@
                     fleet.backoffs().count(now_ms)
                 };
                 info!(self.log, "server asks for backoff"; "server" => %server,
-                    "backoff_ms" => backoff_ms, "request" => answered.request(),
-                    "call" => answered.call(), "sent_at_ms" => sent_at_ms,
+                    "backoff_ms" => backoff_ms, "request" => responds_to.request(),
+                    "call" => responds_to.call(), "sent_at_ms" => sent_at_ms,
                     "backing_off" => count);
                 metrics::gauge!("savoryvane_servers_backing_off").set(count as f64);
                 metrics::counter!("savoryvane_backoffs_requested_total").increment(1);
             }
-            BackoffRequest::Unreadable => self.note_unreadable(server, "retry-after"),
+            BackoffRequest::Unreadable => self.log_unreadable_signal(server, "retry-after"),
         }
         if signals.limit.is_meaningful(head.is_success) {
             self.on_limit(server, sent_at_ms, signals.limit);
@@ -142,22 +142,22 @@
     }
 
     /// Logs unknown headers, once per name.
-    fn note_unknown(&self, server: &BackendName, names: &[HeaderName]) {
+    fn log_unknown_headers(&self, server: &BackendName, names: &[HeaderName]) {
         for name in names {
             let is_new = {
                 let mut noted = lock(&self.unknown_headers);
                 noted.len() < MAX_UNKNOWN_HEADERS && noted.insert(name.clone())
             };
             if is_new {
-                warn!(self.log, "unknown header of a server"; "server" => %server,
+                warn!(self.log, "unknown response header"; "server" => %server,
                     "header" => name.as_str());
                 metrics::counter!("savoryvane_unknown_headers_total").increment(1);
             }
         }
     }
 
-    pub(super) fn note_unreadable(&self, server: &BackendName, signal: &'static str) {
-        warn!(self.log, "signal not understood"; "server" => %server, "signal" => signal);
+    pub(super) fn log_unreadable_signal(&self, server: &BackendName, signal: &'static str) {
+        warn!(self.log, "invalid server signal"; "server" => %server, "signal" => signal);
         metrics::counter!("savoryvane_signals_unreadable_total", "signal" => signal).increment(1);
     }
 }
--- a/crates/server/src/gateway/calls.rs
+++ b/crates/server/src/gateway/stage_calls.rs
@@ -19,10 +19,10 @@
 use tokio::time::{self, Instant};
 
 use super::{
-    crashes::{CrashDetector, LostServer},
-    knowledge::Knowledge,
+    crashes::{CrashDetector, LostConnection},
     quarantine::Quarantine,
-    signals::{Answered, Sendable},
+    routing_view::RoutingView,
+    signals::{ResponseTo, Sendable},
 };
 use crate::{
     connections::{Connections, SendError},
@@ -30,45 +30,45 @@
 };
 
 /// Largest response to a call, in bytes: room for some hundred results with their names.
-const MAX_ANSWER_BYTES: usize = 256 << 10;
+const MAX_RESPONSE_BYTES: usize = 256 << 10;
 /// Timeout of a call that frees results.
 const FREE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Interval between two attempts to connect to an unreachable server.
 const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 /// Attempts before pieces are sent to it again; by then, a server that is no longer
 /// registered has been removed.
-const PROBES: u32 = 15;
+const MAX_PROBES: u32 = 15;
 
 /// Client for the stage calls of this instance.
 #[derive(Debug)]
-pub(super) struct StageCalls {
-    knowledge: Arc<Knowledge>,
+pub(super) struct StageClient {
+    view: Arc<RoutingView>,
     servers: Arc<Connections>,
-    ends: Arc<CrashDetector>,
+    crash_detector: Arc<CrashDetector>,
     quarantine: Arc<Quarantine>,
     log: Logger,
 }
 
 /// Destination of a call, and what it is for.
 #[derive(Clone, Copy, Debug)]
-struct Addressee<'a> {
+struct Destination<'a> {
     server: &'a BackendName,
     addr: SocketAddr,
-    answered: Answered<'a>,
+    answered: ResponseTo<'a>,
 }
 
-impl StageCalls {
+impl StageClient {
     pub(super) fn new(
-        knowledge: Arc<Knowledge>,
+        view: Arc<RoutingView>,
         servers: Arc<Connections>,
-        ends: Arc<CrashDetector>,
+        crash_detector: Arc<CrashDetector>,
         quarantine: Arc<Quarantine>,
         log: Logger,
     ) -> Self {
         Self {
-            knowledge,
+            view,
             servers,
-            ends,
+            crash_detector,
             quarantine,
             log,
         }
@@ -77,12 +77,12 @@
     /// Calls a server to run pieces, and returns the outcome.
     pub(super) async fn run(&self, call: &StageCall) -> CallEnd {
         let began = Instant::now();
-        let server = self.knowledge.directory().entry(&call.server).cloned();
+        let server = self.view.directory().entry(&call.server).cloned();
         let mut end = self.exchange(call).await;
         let elapsed_ms = began.elapsed().as_millis() as u64;
         if end == CallEnd::Lost
             && let Some(server) = server
-            && let Some(ends) = self.on_lost(call, &server).await
+            && let Some(ends) = self.on_connection_lost(call, &server).await
         {
             end = CallEnd::ServerEnded(ends);
         }
@@ -94,7 +94,7 @@
 
     /// Finds out whether a server whose connection broke crashed under the requests of a
     /// call; if so, returns the crash count of each of them.
-    async fn on_lost(
+    async fn on_connection_lost(
         &self,
         call: &StageCall,
         server: &ServerEntry,
@@ -103,28 +103,28 @@
         let requests: BTreeMap<RequestDigest, RequestId> = requests
             .map(|item| (item.digest, item.request.clone()))
             .collect();
-        let called = requests.iter().map(|(digest, id)| (id.clone(), *digest));
-        let lost = LostServer {
+        let request_digests = requests.iter().map(|(digest, id)| (id.clone(), *digest));
+        let lost = LostConnection {
             server: server.clone(),
-            requests: called.collect(),
-            others: 0,
+            requests: request_digests.collect(),
+            other_requests: 0,
         };
-        let fate = self.ends.on_lost(lost).await;
+        let fate = self.crash_detector.on_connection_lost(lost).await;
         let digests = requests.into_keys();
-        let ends = digests.map(|digest| (digest, self.quarantine.ends(&digest)));
+        let ends = digests.map(|digest| (digest, self.quarantine.crash_count(&digest)));
         matches!(fate, Fate::Ended(_)).then(|| ends.collect())
     }
 
     fn log_call(&self, call: &StageCall, end: &CallEnd, elapsed_ms: u64) {
         let CallEnd::Answered(items) = end else {
-            warn!(self.log, "pieces not called"; "call" => call.id.0,
+            warn!(self.log, "stage call failed"; "call" => call.id.0,
                 "service" => %call.service, "server" => %call.server,
                 "pieces" => call.items.len(), "elapsed_ms" => elapsed_ms, "end" => end.as_str());
             return;
         };
         let count = |end: &ItemEnd| items.iter().filter(|item| *item == end).count();
         let done = items.iter().filter(|item| matches!(item, ItemEnd::Done(_)));
-        info!(self.log, "pieces called"; "call" => call.id.0, "service" => %call.service,
+        info!(self.log, "stage call completed"; "call" => call.id.0, "service" => %call.service,
             "server" => %call.server, "pieces" => items.len(), "done" => done.count(),
             "late" => count(&ItemEnd::Late), "input_gone" => count(&ItemEnd::InputGone),
             "no_room" => count(&ItemEnd::NoRoom), "failed" => count(&ItemEnd::Failed),
@@ -144,42 +144,42 @@
         let body = match stages::encode_run(&call.items) {
             Ok(body) => body,
             Err(err) => {
-                warn!(self.log, "pieces not encoded"; "error" => %err);
+                warn!(self.log, "stage call not encoded"; "error" => %err);
                 return CallEnd::Unreachable;
             }
         };
         // Signals may have arrived since the server was chosen.
-        if let Some(end) = self.not_sent(call) {
+        if let Some(end) = self.send_blocked(call) {
             return end;
         }
         let timeout = Duration::from_millis(call.timeout_ms);
-        let to = Addressee {
+        let to = Destination {
             server: &call.server,
             addr: call.addr,
-            answered: Answered::Call(call.id),
+            answered: ResponseTo::Call(call.id),
         };
-        let answer = self.post(to, stages::RUN_PATH, body, timeout).await;
-        let (head, answer) = match answer {
-            Ok(answer) => answer,
+        let response = self.post(to, stages::RUN_PATH, body, timeout).await;
+        let (head, response) = match response {
+            Ok(response) => response,
             Err(SendError::NotSent(_)) => {
-                return self.not_sent(call).unwrap_or(CallEnd::Unreachable);
+                return self.send_blocked(call).unwrap_or(CallEnd::Unreachable);
             }
             Err(SendError::Sent(_)) => return CallEnd::Lost,
         };
-        let status = answer.status();
+        let status = response.status();
         if head.is_misdirected {
             return CallEnd::Misdirected;
         }
         if head.is_not_run {
-            return self.not_sent(call).unwrap_or(CallEnd::Full);
+            return self.send_blocked(call).unwrap_or(CallEnd::Full);
         }
-        match stages::decode_run(answer.body()) {
+        match stages::decode_run(response.body()) {
             Ok(items) if status == StatusCode::OK && items.len() == call.items.len() => {
                 CallEnd::Answered(items)
             }
             Ok(_) => CallEnd::Lost,
             Err(err) => {
-                warn!(self.log, "answer to pieces not understood"; "call" => call.id.0,
+                warn!(self.log, "invalid response to stage call"; "call" => call.id.0,
                     "server" => %call.server, "status" => status.as_u16(), "error" => %err);
                 CallEnd::Lost
             }
@@ -188,8 +188,8 @@
 
     /// Returns the outcome of a call that may not be sent to its server now, `None` if it
     /// may.
-    fn not_sent(&self, call: &StageCall) -> Option<CallEnd> {
-        match self.knowledge.sendable(&call.server) {
+    fn send_blocked(&self, call: &StageCall) -> Option<CallEnd> {
+        match self.view.sendable(&call.server) {
             Sendable::Yes => None,
             Sendable::Closed => Some(CallEnd::Misdirected),
             Sendable::BackingOff(until_ms) => Some(CallEnd::BackingOff(until_ms)),
@@ -200,18 +200,18 @@
     /// returns the response and its decoded head.
     async fn post(
         &self,
-        to: Addressee<'_>,
+        to: Destination<'_>,
         path: &str,
         body: Vec<u8>,
         timeout: Duration,
     ) -> Result<(AnswerHead, http::Response<Bytes>), SendError> {
         let mut request = request(Method::POST, to.addr, path, body.into());
         request.headers_mut().extend(stages::headers(to.server));
-        let sent_at_ms = self.knowledge.now_ms();
+        let sent_at_ms = self.view.now_ms();
         let on_head = |head: &response::Parts| {
             let head = answer::decode(head.status, &head.headers);
-            self.knowledge
-                .on_answer_head(to.server, sent_at_ms, to.answered, &head);
+            self.view
+                .on_response_head(to.server, sent_at_ms, to.answered, &head);
             head
         };
         self.servers
@@ -219,8 +219,8 @@
                 to.addr,
                 request,
                 timeout,
-                MAX_ANSWER_BYTES,
-                || self.knowledge.sendable(to.server) == Sendable::Yes,
+                MAX_RESPONSE_BYTES,
+                || self.view.sendable(to.server) == Sendable::Yes,
                 on_head,
             )
             .await
@@ -241,21 +241,16 @@
                 return false;
             }
         };
-        let is_limited = self
-            .knowledge
-            .fleet()
-            .limits()
-            .limit_per_s(server)
-            .is_some();
-        if self.knowledge.sendable(server) != Sendable::Yes || is_limited {
+        let is_limited = self.view.fleet().limits().limit_per_s(server).is_some();
+        if self.view.sendable(server) != Sendable::Yes || is_limited {
             // The limited rate is left to pieces; servers drop unreleased results a
             // little later.
             return true;
         }
-        let to = Addressee {
+        let to = Destination {
             server,
             addr,
-            answered: Answered::Free,
+            answered: ResponseTo::Free,
         };
         let freed = self.post(to, stages::FREE_PATH, body, FREE_TIMEOUT).await;
         if let Err(err) = freed {
@@ -268,8 +263,12 @@
 
     /// Tries to connect to an unreachable server until that succeeds; returns whether it
     /// did within `MAX_PROBES` attempts.
-    pub(super) async fn reach(&self, server: &BackendName, addr: SocketAddr) -> bool {
-        for _ in 0..PROBES {
+    pub(super) async fn wait_until_reachable(
+        &self,
+        server: &BackendName,
+        addr: SocketAddr,
+    ) -> bool {
+        for _ in 0..MAX_PROBES {
             time::sleep(PROBE_INTERVAL).await;
             if self.servers.warm(addr).await {
                 info!(self.log, "server reached again"; "server" => %server);
@@ -280,7 +279,7 @@
     }
 
     /// Closes the pooled connections to an address, which another run may have now.
-    pub(super) fn forget(&self, addr: SocketAddr) {
+    pub(super) fn close_connections(&self, addr: SocketAddr) {
         self.servers.forget(addr);
     }
 }
