--- a/crates/server/src/gateway/stages.rs
+++ b/crates/server/src/gateway/stage_submission.rs
@@ -21,15 +21,15 @@
 
 /// Margin added to the time left for a request, for the scheduler to respond that it has
 /// run out.
-const ANSWER_SPARE: Duration = Duration::from_millis(200);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(200);
 /// Maximum number of schedulers that a request is submitted to.
-const MOST_SCHEDULERS: u32 = 6;
+const MAX_SCHEDULERS: u32 = 6;
 /// Timeout of a message that releases results.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Submits stages to the scheduler, at this or another instance.
 #[derive(Debug)]
-pub(super) struct Stages {
+pub(super) struct StageSubmitter {
     instance: InstanceName,
     incarnation: Incarnation,
     members: Arc<Members>,
@@ -40,41 +40,41 @@
 
 /// Outcome of a request's stages, with the guard of their results.
 #[derive(Debug)]
-pub(super) struct Ended {
+pub(super) struct StagesEnd {
     pub(super) outcome: StageOutcome,
     /// Releases the results at the scheduler when dropped.
-    pub(super) held: Option<Held>,
+    pub(super) guard: Option<ResultsGuard>,
 }
 
 /// Keeps the results of a request's stages; releases them when dropped.
 #[derive(Debug)]
-pub(super) struct Held {
-    stages: Arc<Stages>,
+pub(super) struct ResultsGuard {
+    submitter: Arc<StageSubmitter>,
     scheduler: Option<InstanceName>,
     key: RequestKey,
 }
 
-impl Drop for Held {
+impl Drop for ResultsGuard {
     fn drop(&mut self) {
         let Some(scheduler) = self.scheduler.take() else {
-            return self.stages.dispatch.release(&self.key);
+            return self.submitter.dispatch.release(&self.key);
         };
-        let stages = Arc::clone(&self.stages);
+        let submitter = Arc::clone(&self.submitter);
         let message = Message::StageRelease(self.key.clone());
         tokio::spawn(async move {
-            let peers = stages.members.peers();
-            let told = peers
+            let peers = submitter.members.peers();
+            let response = peers
                 .request(&scheduler, None, &message, RELEASE_TIMEOUT)
                 .await;
-            if let Err(err) = told {
+            if let Err(err) = response {
                 // The scheduler drops them itself once the request's deadline has passed.
-                debug!(stages.log, "results not released"; "error" => %err);
+                debug!(submitter.log, "results not released"; "error" => %err);
             }
         });
     }
 }
 
-impl Stages {
+impl StageSubmitter {
     pub(super) fn new(
         instance: InstanceName,
         incarnation: Incarnation,
@@ -103,16 +103,16 @@
 
     /// Runs the stages of a request; dropping the future cancels them. If the scheduler
     /// is lost, they start over at the next one.
-    pub(super) async fn run(self: &Arc<Self>, mut submission: Submission) -> Ended {
+    pub(super) async fn run(self: &Arc<Self>, mut submission: Submission) -> StagesEnd {
         let began = Instant::now();
         let (goal_ms, deadline_ms) = (submission.goal_left_ms, submission.deadline_left_ms);
         let mut next = None;
-        for _ in 0..MOST_SCHEDULERS {
+        for _ in 0..MAX_SCHEDULERS {
             let scheduler = match next.take() {
                 Some(next) => Some(next),
                 None => {
                     let left = Duration::from_millis(submission.deadline_left_ms);
-                    self.members.settled(left).await
+                    self.members.wait_for_scheduler(left).await
                 }
             };
             let elapsed_ms = began.elapsed().as_millis() as u64;
@@ -126,17 +126,17 @@
                 (Ok(StageOutcome::Moved { done, to }), _) => {
                     submission.done = done;
                     if let Some(to) = &to {
-                        self.members.on_scheduler_told(to);
+                        self.members.on_successor_named(to);
                     }
                     next = to;
                 }
                 (Ok(outcome), scheduler) => {
-                    return self.ended(outcome, scheduler, submission.key);
+                    return self.build_end(outcome, scheduler, submission.key);
                 }
-                (Err(Lost::Declined), Some(scheduler)) => {
+                (Err(SchedulerError::Declined), Some(scheduler)) => {
                     self.members.on_scheduler_declined(&scheduler);
                 }
-                (Err(Lost::Failed(err)), Some(scheduler)) => {
+                (Err(SchedulerError::Failed(err)), Some(scheduler)) => {
                     self.members.on_scheduler_lost(&scheduler, &err);
                 }
                 // Scheduling at this instance does not fail.
@@ -145,28 +145,28 @@
             // The previous scheduler may still finish the submission under the old key.
             submission.key = self.next_key();
         }
-        Ended {
+        StagesEnd {
             outcome: StageOutcome::Refused {
                 reason: Refusal::Failed,
                 retry_after_ms: 0,
                 forecast_ms: 0,
             },
-            held: None,
+            guard: None,
         }
     }
 
-    fn ended(
+    fn build_end(
         self: &Arc<Self>,
         outcome: StageOutcome,
         scheduler: Option<InstanceName>,
         key: RequestKey,
-    ) -> Ended {
-        let held = matches!(outcome, StageOutcome::Ready(_)).then(|| Held {
-            stages: Arc::clone(self),
-            scheduler: scheduler.filter(|name| !self.members.is_me(name)),
+    ) -> StagesEnd {
+        let guard = matches!(outcome, StageOutcome::Ready(_)).then(|| ResultsGuard {
+            submitter: Arc::clone(self),
+            scheduler: scheduler.filter(|name| !self.members.is_self(name)),
             key,
         });
-        Ended { outcome, held }
+        StagesEnd { outcome, guard }
     }
 
     /// Runs the stages at `scheduler`, or at this instance if there is none.
@@ -174,33 +174,35 @@
         &self,
         scheduler: Option<&InstanceName>,
         submission: &Submission,
-    ) -> Result<StageOutcome, Lost> {
-        let Some(scheduler) = scheduler.filter(|name| !self.members.is_me(name)) else {
+    ) -> Result<StageOutcome, SchedulerError> {
+        let Some(scheduler) = scheduler.filter(|name| !self.members.is_self(name)) else {
             return Ok(self.dispatch.run(submission.clone()).await);
         };
         let message = Message::StageSubmission(submission.clone());
-        let timeout = Duration::from_millis(submission.deadline_left_ms) + ANSWER_SPARE;
+        let timeout = Duration::from_millis(submission.deadline_left_ms) + RESPONSE_MARGIN;
         let request = self
             .members
             .peers()
             .request(scheduler, None, &message, timeout);
-        let answer = tokio::select! {
-            answer = time::timeout(timeout, request) => answer,
-            () = self.members.lost(scheduler) => {
-                return Err(Lost::Failed(PeerError::Unanswered("not reached".to_owned())));
+        let response = tokio::select! {
+            response = time::timeout(timeout, request) => response,
+            () = self.members.wait_unreachable(scheduler) => {
+                return Err(SchedulerError::Failed(PeerError::Unanswered("not reached".to_owned())));
             }
         };
-        match answer {
+        match response {
             Ok(Ok(Message::StageOutcome(outcome))) => Ok(outcome),
-            Ok(Ok(_)) => Err(Lost::Declined),
-            Ok(Err(err)) => Err(Lost::Failed(err)),
-            Err(_) => Err(Lost::Failed(PeerError::Unanswered("timeout".to_owned()))),
+            Ok(Ok(_)) => Err(SchedulerError::Declined),
+            Ok(Err(err)) => Err(SchedulerError::Failed(err)),
+            Err(_) => Err(SchedulerError::Failed(PeerError::Unanswered(
+                "timeout".to_owned(),
+            ))),
         }
     }
 }
 
 /// Why a scheduler did not report the outcome of stages.
-enum Lost {
+enum SchedulerError {
     /// It does not schedule for others now.
     Declined,
     /// It was unreachable or gave no response.
--- a/crates/server/src/gateway/store.rs
+++ b/crates/server/src/gateway/store.rs
@@ -23,22 +23,22 @@
 
 /// Timeout of a call beyond the wait that it requests: the store responds in 4 ms, and in
 /// 240 ms when slowed down by a factor of sixty.
-const TIMEOUT: Duration = Duration::from_millis(800);
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// Timeout of a page of a whole topic, which is a megabyte or more in a large fleet and
 /// is transferred over a link of 10 Mbit/s.
-const WHOLE_TIMEOUT: Duration = Duration::from_millis(1_500);
+const PAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Maximum number of attempts to read a page after the first page has been read.
-const MOST_PAGE_TRIES: u32 = 3;
+const MAX_PAGE_ATTEMPTS: u32 = 3;
 /// Range of the random delay before the next attempt, in ms: spread, since other
 /// instances retry too.
-const PAGE_PAUSES_MS: RangeInclusive<u64> = 100..=400;
+const PAGE_RETRY_DELAYS_MS: RangeInclusive<u64> = 100..=400;
 /// Timeout for connecting to the store.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Largest response that is read, in bytes: a page of the store is at most 1 MB, in
 /// base64.
-const MAX_ANSWER_BYTES: usize = 4 << 20;
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 /// Maximum number of idle connections.
-const MAX_IDLE: usize = 2;
+const MAX_IDLE_CONNECTIONS: usize = 2;
 /// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
@@ -49,12 +49,12 @@
         /// The store was unreachable, or its response was lost.
         Unanswered(err: SendError) {
             from()
-            display("no answer: {err}")
+            display("no response: {err}")
         }
         /// The response is from an era before one that the store has already responded
         /// from.
         Outdated(era: u64) {
-            display("answer of the earlier era {era}")
+            display("response from the earlier era {era}")
         }
         /// The store rejected the call, or its response is invalid.
         Refused(err: savoryvane_platform::Error) {
@@ -68,7 +68,7 @@
 pub(super) type Result<T> = std::result::Result<T, StoreError>;
 
 /// The result of a read of a topic.
-pub(super) enum Reading {
+pub(super) enum ReadOutcome {
     /// Records from the requested position on, in order.
     Records {
         records: Vec<Record>,
@@ -81,7 +81,7 @@
 }
 
 /// The latest record of each key of a topic.
-pub(super) struct Newest {
+pub(super) struct TopicSnapshot {
     pub(super) records: Vec<Record>,
     /// Era of the store that the records belong to.
     pub(super) era: u64,
@@ -90,7 +90,7 @@
 }
 
 /// A response of the store.
-struct StoreAnswer {
+struct StoreResponse {
     status: StatusCode,
     era: u64,
     body: Bytes,
@@ -101,13 +101,13 @@
 pub(super) struct StoreClient {
     addr: SocketAddr,
     clock: Clock,
-    turns: Arc<Mutex<Turns>>,
+    call_state: Arc<Mutex<CallState>>,
     connections: Arc<Connections>,
 }
 
 /// State that decides when the store is called.
 #[derive(Debug)]
-struct Turns {
+struct CallState {
     retry: StoreRetry,
     reader: Reader,
     /// Latest era that the store has responded from.
@@ -121,7 +121,7 @@
         Self {
             addr,
             clock,
-            turns: Arc::new(Mutex::new(Turns {
+            call_state: Arc::new(Mutex::new(CallState {
                 retry: StoreRetry::default(),
                 // Until its role is known, it can rely on no other instance.
                 reader: Reader::Reserve,
@@ -130,7 +130,7 @@
             })),
             connections: Connections::new(ConnectionSettings {
                 connect_timeout: CONNECT_TIMEOUT,
-                max_idle: MAX_IDLE,
+                max_idle: MAX_IDLE_CONNECTIONS,
                 idle_timeout: IDLE_TIMEOUT,
             }),
         }
@@ -139,34 +139,34 @@
     /// Sets this instance's role in reading the store. It must be called only once the
     /// instance has routes and servers: until then, it can rely on no other instance.
     pub(super) fn set_reader(&self, reader: Reader) {
-        self.turns().reader = reader;
+        self.call_state().reader = reader;
     }
 
     /// Begins a call. While calls are failing, returns the time to wait instead, except
     /// for the call that checks whether the store is available again.
-    pub(super) fn begin(&self) -> std::result::Result<(), Duration> {
-        let wait_ms = self.turns().retry.begin(self.clock.now_ms());
+    pub(super) fn try_begin(&self) -> std::result::Result<(), Duration> {
+        let wait_ms = self.call_state().retry.begin(self.clock.now_ms());
         wait_ms.map_or(Ok(()), |wait_ms| Err(Duration::from_millis(wait_ms)))
     }
 
     /// Returns whether the last call failed.
     pub(super) fn is_failing(&self) -> bool {
-        self.turns().retry.is_failing()
+        self.call_state().retry.is_failing()
     }
 
     /// Returns the time since the last failed call, in ms.
     pub(super) fn failed_ago_ms(&self) -> Option<u64> {
-        let failed_at_ms = self.turns().failed_at_ms?;
+        let failed_at_ms = self.call_state().failed_at_ms?;
         Some(self.clock.now_ms().saturating_sub(failed_at_ms))
     }
 
     /// Returns the latest era that the store has responded from.
     pub(super) fn era(&self) -> u64 {
-        self.turns().era
+        self.call_state().era
     }
 
-    fn turns(&self) -> MutexGuard<'_, Turns> {
-        lock(&self.turns)
+    fn call_state(&self) -> MutexGuard<'_, CallState> {
+        lock(&self.call_state)
     }
 
     /// Reads `topic` from `from` on, waiting up to `wait` for a record.
@@ -175,42 +175,42 @@
         topic: Topic,
         from: Position,
         wait: Duration,
-    ) -> Result<Reading> {
+    ) -> Result<ReadOutcome> {
         let wait_ms = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
         let call = store::read(topic, from.offset, wait_ms);
-        let answer = self.call(call, wait + TIMEOUT).await?;
-        if answer.era != from.era {
+        let response = self.call(call, wait + CALL_TIMEOUT).await?;
+        if response.era != from.era {
             // The same offsets hold other records in another era.
-            return Ok(Reading::Trimmed);
+            return Ok(ReadOutcome::Trimmed);
         }
-        match store::decode_read(from.offset, answer.status, &answer.body)? {
-            Read::Records { next, records, .. } => Ok(Reading::Records { records, next }),
-            Read::Trimmed => Ok(Reading::Trimmed),
+        match store::decode_read(from.offset, response.status, &response.body)? {
+            Read::Records { next, records, .. } => Ok(ReadOutcome::Records { records, next }),
+            Read::Trimmed => Ok(ReadOutcome::Trimmed),
         }
     }
 
     /// Reads the latest record of each key of `topic`.
-    pub(super) async fn newest(&self, topic: Topic) -> Result<Newest> {
+    pub(super) async fn newest(&self, topic: Topic) -> Result<TopicSnapshot> {
         let mut records: Vec<Record> = Vec::new();
         let mut first = None;
         let mut after: Option<String> = None;
         loop {
-            let answer = self.page(topic, after.as_deref()).await?;
+            let response = self.page(topic, after.as_deref()).await?;
             let Page {
                 records: page,
                 last_key,
                 has_more,
                 end,
-            } = store::decode_newest(answer.status, &answer.body)?;
+            } = store::decode_newest(response.status, &response.body)?;
             // Pages are read one after the other: changes made meanwhile are read again
             // from the end offset that the first page gave.
-            let (era, end) = *first.get_or_insert((answer.era, end));
-            if era != answer.era {
+            let (era, end) = *first.get_or_insert((response.era, end));
+            if era != response.era {
                 return Err(StoreError::Outdated(era));
             }
             records.extend(page);
             if !has_more || last_key.is_none() || last_key == after {
-                return Ok(Newest { records, era, end });
+                return Ok(TopicSnapshot { records, era, end });
             }
             after = last_key;
         }
@@ -218,17 +218,17 @@
 
     /// Reads one page of a topic. When hundreds of instances read whole topics at the
     /// same time, a page may be late; retrying it avoids reading the earlier pages again.
-    async fn page(&self, topic: Topic, after: Option<&str>) -> Result<StoreAnswer> {
-        let mut tries = 1;
+    async fn page(&self, topic: Topic, after: Option<&str>) -> Result<StoreResponse> {
+        let mut attempts = 1;
         loop {
             let call = store::newest(topic, after);
-            match self.call(call, WHOLE_TIMEOUT).await {
-                Err(_) if after.is_some() && tries < MOST_PAGE_TRIES => {}
-                answer => return answer,
+            match self.call(call, PAGE_TIMEOUT).await {
+                Err(_) if after.is_some() && attempts < MAX_PAGE_ATTEMPTS => {}
+                response => return response,
             }
-            tries += 1;
-            let pause_ms = rand::random_range(PAGE_PAUSES_MS);
-            time::sleep(Duration::from_millis(pause_ms)).await;
+            attempts += 1;
+            let delay_ms = rand::random_range(PAGE_RETRY_DELAYS_MS);
+            time::sleep(Duration::from_millis(delay_ms)).await;
         }
     }
 
@@ -239,51 +239,51 @@
 
     /// Makes a call that writes.
     pub(super) async fn write(&self, call: Call) -> Result<()> {
-        let answer = self.call(call, TIMEOUT).await?;
-        Ok(store::decode_write(answer.status)?)
+        let response = self.call(call, CALL_TIMEOUT).await?;
+        Ok(store::decode_write(response.status)?)
     }
 
-    async fn call(&self, call: Call, timeout: Duration) -> Result<StoreAnswer> {
+    async fn call(&self, call: Call, timeout: Duration) -> Result<StoreResponse> {
         let request = request(call.method, self.addr, &call.path, call.body);
-        let answer = self
+        let response = self
             .connections
-            .exchange(self.addr, request, timeout, MAX_ANSWER_BYTES)
+            .exchange(self.addr, request, timeout, MAX_RESPONSE_BYTES)
             .await;
         metrics::counter!("savoryvane_store_calls_total",
-            "outcome" => if answer.is_ok() { "answered" } else { "lost" })
+            "outcome" => if response.is_ok() { "answered" } else { "lost" })
         .increment(1);
-        let is_served = answer
+        let is_served = response
             .as_ref()
-            .is_ok_and(|answer| !is_refusal(answer.status()));
+            .is_ok_and(|response| !is_refusal(response.status()));
         let now_ms = self.clock.now_ms();
         {
-            let mut turns = self.turns();
-            let reader = turns.reader;
+            let mut call_state = self.call_state();
+            let reader = call_state.reader;
             match is_served {
-                true => turns.retry.on_answered(),
+                true => call_state.retry.on_answered(),
                 false => {
-                    turns.retry.on_failed(now_ms, reader, rand::random());
-                    turns.failed_at_ms = Some(now_ms);
+                    call_state.retry.on_failed(now_ms, reader, rand::random());
+                    call_state.failed_at_ms = Some(now_ms);
                 }
             }
         }
-        let answer = answer?;
-        let era = store::era(answer.headers());
+        let response = response?;
+        let era = store::era(response.headers());
         self.on_era(era)?;
-        Ok(StoreAnswer {
-            status: answer.status(),
+        Ok(StoreResponse {
+            status: response.status(),
             era,
-            body: answer.into_body(),
+            body: response.into_body(),
         })
     }
 
     /// Records the era of a response.
     fn on_era(&self, era: u64) -> Result<()> {
-        let mut turns = self.turns();
-        if era < turns.era {
+        let mut call_state = self.call_state();
+        if era < call_state.era {
             return Err(StoreError::Outdated(era));
         }
-        turns.era = era;
+        call_state.era = era;
         Ok(())
     }
 }
--- a/crates/server/src/gateway/follow.rs
+++ b/crates/server/src/gateway/store_follower.rs
@@ -13,9 +13,9 @@
 use super::{
     batch::Batch,
     freshness::Freshness,
-    knowledge::Knowledge,
     members::Members,
-    store::{Newest, Reading, Result, StoreClient, StoreError},
+    routing_view::RoutingView,
+    store::{ReadOutcome, Result, StoreClient, StoreError, TopicSnapshot},
 };
 
 /// Time that one read of the configuration waits for a change where no other instance
@@ -24,25 +24,25 @@
 const CONFIGURATION_WAIT: Duration = Duration::from_millis(1_000);
 /// Interval between two checks whether another instance still sends updates. Meanwhile
 /// this instance does not call the store, since store calls are expensive.
-pub(super) const TOLD_INTERVAL: Duration = Duration::from_millis(100);
+pub(super) const UPDATE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval between two reads of the list of instances.
 const INSTANCES_INTERVAL: Duration = Duration::from_secs(5);
 /// The same in the first seconds, in which all instances start.
-const FIRST_INSTANCES_INTERVAL: Duration = Duration::from_secs(1);
+const STARTUP_INSTANCES_INTERVAL: Duration = Duration::from_secs(1);
 /// Delay from this instance's write into the list to the next read of it: all instances
 /// of a deployment start within 300 ms of each other.
-const LISTED_DELAY: Duration = Duration::from_millis(300);
+const FIRST_READ_DELAY: Duration = Duration::from_millis(300);
 /// Longest random delay before an instance that the store has lost writes itself again,
 /// in ms: hundreds that are lost together spread their writes.
-const LIST_AGAIN_MS: u64 = 1_000;
+const MAX_REWRITE_DELAY_MS: u64 = 1_000;
 /// Number of reads of the list at the shorter interval.
-const FIRST_INSTANCES_READS: u32 = 4;
+const STARTUP_INSTANCES_READS: u32 = 4;
 
 /// Dependencies of the tasks that follow the store.
 #[derive(Clone, Debug)]
 pub(super) struct StoreFollower {
     pub(super) store: StoreClient,
-    pub(super) knowledge: Arc<Knowledge>,
+    pub(super) view: Arc<RoutingView>,
     pub(super) freshness: Arc<Freshness>,
     pub(super) members: Arc<Members>,
     /// Whether the store is empty when this instance starts.
@@ -51,14 +51,14 @@
 }
 
 /// Reads one topic, and tracks whether its reads fail.
-pub(super) struct Topical {
+pub(super) struct TopicReader {
     topic: Topic,
     name: &'static str,
     log: Logger,
     failing_since: Option<Instant>,
 }
 
-impl Topical {
+impl TopicReader {
     pub(super) fn new(topic: Topic, name: &'static str, log: &Logger) -> Self {
         Self {
             topic,
@@ -78,24 +78,24 @@
     ) -> Result<Batch> {
         if let Some(from) = from {
             match store.read(self.topic, from, wait).await? {
-                Reading::Records { records, next } => {
+                ReadOutcome::Records { records, next } => {
                     return Ok(Batch {
                         records,
-                        is_whole: false,
+                        is_snapshot: false,
                         era: from.era,
                         next,
                     });
                 }
-                Reading::Trimmed => {
+                ReadOutcome::Trimmed => {
                     info!(self.log, "records expired"; "topic" => self.name,
                         "from" => from.offset, "from_era" => from.era, "era" => store.era());
                 }
             }
         }
-        let Newest { records, era, end } = store.newest(self.topic).await?;
+        let TopicSnapshot { records, era, end } = store.newest(self.topic).await?;
         Ok(Batch {
             records,
-            is_whole: true,
+            is_snapshot: true,
             era,
             next: end,
         })
@@ -109,10 +109,10 @@
     ) -> Option<Duration> {
         match result {
             Ok(_) => {
-                let lasted = self.failing_since.take()?.elapsed();
+                let failed_for = self.failing_since.take()?.elapsed();
                 info!(self.log, "store regained"; "topic" => self.name,
-                    "away_ms" => lasted.as_millis() as u64);
-                Some(lasted)
+                    "away_ms" => failed_for.as_millis() as u64);
+                Some(failed_for)
             }
             Err(err) => {
                 if self.failing_since.is_none() {
@@ -126,7 +126,7 @@
 
     /// Returns how long a read waits for a record: the first after a failure does not
     /// wait, so that the other instances learn soon that the store is back.
-    fn wait(&self, usual: Duration) -> Duration {
+    fn read_wait(&self, usual: Duration) -> Duration {
         if self.failing_since.is_some() {
             Duration::ZERO
         } else {
@@ -139,31 +139,31 @@
 pub(super) async fn configuration(follower: StoreFollower) {
     let StoreFollower {
         store,
-        knowledge,
+        view,
         freshness,
         members,
         is_first_start,
         log,
     } = follower;
-    let mut topical = Topical::new(Topic::Operator, "configuration", &log);
+    let mut topic_reader = TopicReader::new(Topic::Operator, "configuration", &log);
     let mut next = None;
     loop {
-        let is_told = freshness.is_told(members.reader()) && !knowledge.is_behind();
-        if is_told && (next.is_some() || is_first_start) {
-            time::sleep(TOLD_INTERVAL).await;
+        let skips_store = freshness.skips_store(members.reader()) && !view.is_behind();
+        if skips_store && (next.is_some() || is_first_start) {
+            time::sleep(UPDATE_CHECK_INTERVAL).await;
             continue;
         }
-        if let Err(wait) = store.begin() {
-            time::sleep(wait.min(TOLD_INTERVAL)).await;
+        if let Err(wait) = store.try_begin() {
+            time::sleep(wait.min(UPDATE_CHECK_INTERVAL)).await;
             continue;
         }
         // A new reader has received nothing new for a while, and the others judge the age
         // of its state: if it waited the full time on top, they would all start to read
         // for themselves (68 calls of 30 instances at their start).
         let age = Duration::from_millis(freshness.configuration_age_ms());
-        let wait = topical.wait(CONFIGURATION_WAIT.saturating_sub(age));
-        let read = topical.read(&store, next, wait).await;
-        topical.on_read(&read);
+        let wait = topic_reader.read_wait(CONFIGURATION_WAIT.saturating_sub(age));
+        let read = topic_reader.read(&store, next, wait).await;
+        topic_reader.on_read(&read);
         let Ok(batch) = read else {
             continue;
         };
@@ -172,16 +172,16 @@
             offset: batch.next,
         };
         if next.replace(read_to).is_none() {
-            freshness.on_told(0);
+            freshness.on_synced(0);
         }
         freshness.on_configuration(0);
-        knowledge.apply_evacuations(&batch);
+        view.apply_evacuations(&batch);
         let mut records = batch.records.iter().rev();
         let newest = records.find(|record| record.key == CONFIGURATION_KEY);
         if let Some(value) = newest.and_then(|record| record.value.as_ref()) {
             match configuration::decode(value) {
-                Ok(config) => knowledge.apply_config(config, "store"),
-                Err(err) => warn!(log, "configuration not understood"; "error" => %err),
+                Ok(config) => view.apply_config(config, "store"),
+                Err(err) => warn!(log, "invalid configuration"; "error" => %err),
             }
         }
     }
@@ -197,41 +197,41 @@
         log,
         ..
     } = follower;
-    let mut topical = Topical::new(Topic::Instances, "instances", &log);
+    let mut topic_reader = TopicReader::new(Topic::Instances, "instances", &log);
     let mut reads = 0;
     loop {
         let reader = members.reader();
         if reads > 0 && members.is_missing_in_copy() {
-            list_again(&members, &store, &log).await;
+            rewrite_entry(&members, &store, &log).await;
         }
-        if reads > 0 && reader != Reader::Scheduler && freshness.is_told(reader) {
-            time::sleep(TOLD_INTERVAL).await;
+        if reads > 0 && reader != Reader::Scheduler && freshness.skips_store(reader) {
+            time::sleep(UPDATE_CHECK_INTERVAL).await;
             continue;
         }
-        if let Err(wait) = store.begin() {
-            time::sleep(wait.min(TOLD_INTERVAL)).await;
+        if let Err(wait) = store.try_begin() {
+            time::sleep(wait.min(UPDATE_CHECK_INTERVAL)).await;
             continue;
         }
         let from = members.list_cursor();
         let from = (reads > 0 && !from.is_start()).then(|| from.position());
-        let read = topical.read(&store, from, Duration::ZERO).await;
-        topical.on_read(&read);
+        let read = topic_reader.read(&store, from, Duration::ZERO).await;
+        topic_reader.on_read(&read);
         let Ok(batch) = read else {
             continue;
         };
-        if reads == 0 && !members.is_listed_as_it_is(&batch) {
-            match members.write_self(&store).await {
+        if reads == 0 && !members.is_own_entry_current(&batch) {
+            match members.write_own_entry(&store).await {
                 // Other starting instances write their entries too: with half a list,
                 // each of them would become its own scheduler.
-                Ok(()) => time::sleep(LISTED_DELAY).await,
-                Err(err) => warn!(log, "instance not listed yet"; "error" => %err),
+                Ok(()) => time::sleep(FIRST_READ_DELAY).await,
+                Err(err) => warn!(log, "instance entry not written yet"; "error" => %err),
             }
             continue;
         }
-        members.apply(batch);
+        members.apply_batch(batch);
         reads += 1;
-        let interval = if reads <= FIRST_INSTANCES_READS {
-            FIRST_INSTANCES_INTERVAL
+        let interval = if reads <= STARTUP_INSTANCES_READS {
+            STARTUP_INSTANCES_INTERVAL
         } else {
             INSTANCES_INTERVAL
         };
@@ -241,16 +241,19 @@
 
 /// Writes this instance's entry again after the store was restored from a copy that lacks
 /// it.
-async fn list_again(members: &Members, store: &StoreClient, log: &Logger) {
-    time::sleep(Duration::from_millis(rand::random_range(0..LIST_AGAIN_MS))).await;
-    if store.begin().is_err() {
+async fn rewrite_entry(members: &Members, store: &StoreClient, log: &Logger) {
+    time::sleep(Duration::from_millis(rand::random_range(
+        0..MAX_REWRITE_DELAY_MS,
+    )))
+    .await;
+    if store.try_begin().is_err() {
         return;
     }
-    match members.write_self(store).await {
+    match members.write_own_entry(store).await {
         Ok(()) => {
-            members.on_listed_again();
-            info!(log, "instance listed again"; "era" => store.era());
+            members.on_entry_rewritten();
+            info!(log, "instance entry rewritten"; "era" => store.era());
         }
-        Err(err) => warn!(log, "instance not listed again yet"; "error" => %err),
+        Err(err) => warn!(log, "instance entry not rewritten yet"; "error" => %err),
     }
 }
