--- a/crates/server/src/gateway.rs
+++ b/crates/server/src/gateway.rs
@@ -1,10 +1,12 @@
 //! An instance that forwards callers' requests to backend servers unmodified, by routes
 //! that the operator maintains in the platform's store.
 
+mod admitting;
 mod attempt;
 mod batch;
 mod catch_up;
 mod crashes;
+mod departure;
 mod dispatch;
 mod failover;
 mod forward;
@@ -18,7 +20,6 @@
 mod members;
 mod peer_messages;
 mod quarantine;
-mod quarantine_check;
 mod quarantine_store;
 mod relay;
 mod request;
@@ -26,7 +27,6 @@
 mod scheduler_watch;
 mod server_register;
 mod settings;
-mod shutdown;
 mod signals;
 mod stage_calls;
 mod stage_submission;
--- a/crates/server/src/gateway/forward.rs
+++ b/crates/server/src/gateway/forward.rs
@@ -16,13 +16,13 @@
 
 use super::{
     crashes::CrashDetector,
+    departure::ShutdownDeadline,
     limits::LimitSharing,
     local_reply::{self, FailureReason},
     members::Members,
     quarantine::{PermitGuard, Quarantine},
     request::{CallerRequest, choose_service, request_host},
     routing_view::RoutingView,
-    shutdown::ShutdownDeadline,
     stage_submission::{ResultsGuard, StageSubmitter},
 };
 use crate::{
--- a/crates/server/src/gateway/instance.rs
+++ b/crates/server/src/gateway/instance.rs
@@ -14,6 +14,7 @@
 use super::{
     catch_up::{self, CatchUp},
     crashes::{self, CrashDetector},
+    departure::ShutdownDeadline,
     dispatch::{self, Dispatch},
     forward::Forwarder,
     freshness::Freshness,
@@ -27,7 +28,6 @@
     scheduler_watch::SchedulerWatch,
     server_register,
     settings::{GatewayListen, GatewaySettings},
-    shutdown::ShutdownDeadline,
     stage_calls::StageClient,
     stage_submission::StageSubmitter,
     store::StoreClient,
--- a/crates/server/src/gateway/routing_view.rs
+++ b/crates/server/src/gateway/routing_view.rs
@@ -360,7 +360,7 @@
             fleet.limits().on_answer(now_ms, sent_at_ms, server, named)
         };
         if let Some(change) = change {
-            self.log_limit_change(server, change, "its answer");
+            self.log_limit_change(server, change, "response");
         }
     }
 
--- a/crates/server/src/gateway/signals.rs
+++ b/crates/server/src/gateway/signals.rs
@@ -93,11 +93,11 @@
         match signals.departure {
             Departure::None => {}
             Departure::Leaving => {
-                info!(self.log, "server says that it leaves"; "server" => %server,
+                info!(self.log, "server announces its shutdown"; "server" => %server,
                     "request" => responds_to.request(), "call" => responds_to.call(),
                     "sent_at_ms" => sent_at_ms);
                 metrics::counter!("savoryvane_departures_said_total").increment(1);
-                self.on_leaving(server, "its answer");
+                self.on_leaving(server, "response");
             }
             Departure::Unreadable => self.log_unreadable_signal(server, "server-leaving"),
         }
@@ -110,7 +110,7 @@
                     fleet.backoffs().on_request(now_ms, server, backoff_ms);
                     fleet.backoffs().count(now_ms)
                 };
-                info!(self.log, "server asks for backoff"; "server" => %server,
+                info!(self.log, "server requests backoff"; "server" => %server,
                     "backoff_ms" => backoff_ms, "request" => responds_to.request(),
                     "call" => responds_to.call(), "sent_at_ms" => sent_at_ms,
                     "backing_off" => count);
