--- a/crates/server/src/gateway/admitting.rs
+++ b/crates/server/src/gateway/admitting.rs
@@ -16,7 +16,7 @@
 
 /// Longest time that a request waits for the known crashes at an instance that has just
 /// started; a few store calls take as long.
-const LEARN_TIMEOUT: Duration = Duration::from_millis(100);
+const LOAD_TIMEOUT: Duration = Duration::from_millis(100);
 /// Shortest `Retry-After` while another copy runs, in ms: most servers take as long to
 /// respond.
 const MIN_RETRY_AFTER_MS: u64 = 200;
@@ -33,7 +33,7 @@
         // Crashes known to other instances are loaded some ms after the start. Without
         // them, the first copies after a loss of all instances would crash three more
         // servers.
-        self.quarantine.wait_loaded(LEARN_TIMEOUT).await;
+        self.quarantine.wait_loaded(LOAD_TIMEOUT).await;
         match self.quarantine.standing(&caller.digest) {
             Standing::Clear => Ok(()),
             Standing::Quarantined { .. } => Err(self.reject_quarantined(caller, CountedBy::Own)),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Asks the scheduler why it refused the stages of a request that crashes servers.
+    /// Queries the scheduler why it refused the stages of a request that crashes servers.
     pub(super) async fn query_quarantine_reason(&self, caller: &CallerRequest) -> FailureReason {
         // If a permit is granted after all, it is returned at once.
         let outcome = self
--- a/crates/server/src/gateway/attempt.rs
+++ b/crates/server/src/gateway/attempt.rs
@@ -71,9 +71,9 @@
 }
 
 impl InFlight {
-    pub(super) fn end(mut self, end: ServerOutcome) {
+    pub(super) fn finish(mut self, outcome: ServerOutcome) {
         self.has_ended = true;
-        if end == ServerOutcome::Answered {
+        if outcome == ServerOutcome::Answered {
             let elapsed_ms = self.began.elapsed().as_millis() as u64;
             let mut times = self.forwarder.view.response_times();
             times.record(&self.route.name, elapsed_ms);
@@ -81,7 +81,7 @@
         let now_ms = self.forwarder.clock.now_ms();
         let mut fleet = self.forwarder.view.fleet();
         let before = fleet.cut_off_zones(now_ms);
-        match end {
+        match outcome {
             ServerOutcome::Answered => {
                 let elapsed_us = self.began.elapsed().as_micros() as u64;
                 fleet.on_answered(now_ms, &self.server.id, elapsed_us);
@@ -94,7 +94,7 @@
         let cut_off = fleet.cut_off_zones(now_ms);
         if cut_off != before {
             info!(self.forwarder.log, "zones passed over"; "zones" => zone_names(&cut_off),
-                "before" => zone_names(&before), "server" => %self.server.id, "end" => ?end);
+                "before" => zone_names(&before), "server" => %self.server.id, "end" => ?outcome);
         }
     }
 }
@@ -154,7 +154,7 @@
             Err(SendError::NotSent(reason)) => {
                 warn!(self.log, "server unreachable"; "request" => %caller.id,
                     "server" => %server, "error" => reason);
-                in_flight.end(ServerOutcome::Unreachable);
+                in_flight.finish(ServerOutcome::Unreachable);
                 SendOutcome::Ended(AttemptEnd::NotSent, None)
             }
             Err(SendError::Sent(reason)) => {
@@ -169,13 +169,14 @@
     /// Finds out whether a server whose connection broke crashed under the request.
     pub(super) async fn on_connection_lost(&self, caller: &CallerRequest, in_flight: InFlight) {
         let lost = self.lost_connection(caller, in_flight.server.clone());
-        in_flight.end(ServerOutcome::Silent);
+        in_flight.finish(ServerOutcome::Silent);
         let ends = Arc::clone(&self.crash_detector);
         // Runs in a task of its own: the crash is recorded even if the caller disconnects
         // now.
         let task = tokio::spawn(async move { ends.on_connection_lost(lost).await });
         if let Err(err) = task.await {
-            warn!(self.log, "connection loss not checked"; "request" => %caller.id, "error" => %err);
+            warn!(self.log, "connection loss not checked"; "request" => %caller.id,
+                "error" => %err);
         }
     }
 
@@ -211,7 +212,7 @@
         if let Some(fault) = response_fault(caller, status, &head) {
             warn!(self.log, "unusable response"; "request" => %caller.id,
                 "server" => %in_flight.server.id, "status" => status.as_u16(), "fault" => fault);
-            in_flight.end(ServerOutcome::Failing);
+            in_flight.finish(ServerOutcome::Failing);
             return SendOutcome::Ended(AttemptEnd::Lost, None);
         }
         if status.is_success() && head.has_events {
@@ -236,7 +237,7 @@
         parts.headers = answer::forward(&parts.headers);
         let response = Response::from_parts(parts, body);
         if head.is_not_run {
-            in_flight.end(ServerOutcome::Full);
+            in_flight.finish(ServerOutcome::Full);
             let end = match (head.is_misdirected, head.is_input_gone) {
                 (true, _) => AttemptEnd::Misdirected,
                 (false, true) => AttemptEnd::InputsGone,
@@ -245,7 +246,7 @@
             return SendOutcome::Ended(end, None);
         }
         self.quarantine.on_answered(caller.digest);
-        in_flight.end(ServerOutcome::Answered);
+        in_flight.finish(ServerOutcome::Answered);
         if status.is_success() || status.is_client_error() {
             return SendOutcome::Complete(response);
         }
--- a/crates/server/src/gateway/catch_up.rs
+++ b/crates/server/src/gateway/catch_up.rs
@@ -98,7 +98,7 @@
             && local.version >= remote.version
             && local.instances >= remote.instances
             && local.evacuations >= remote.evacuations;
-        if is_current && self.has_no_lapsing_servers(remote) {
+        if is_current && self.confirm_servers_current(remote) {
             return self.record_synced(remote);
         }
         let query = self.build_query(members, Some(remote.incarnation));
@@ -115,13 +115,13 @@
     /// Records the scheduler's cursor of the server register, all changes of which this
     /// instance already has. Returns whether no server is marked as lapsing here; if one
     /// is, the scheduler may know more about it.
-    fn has_no_lapsing_servers(&self, remote: KnownState) -> bool {
+    fn confirm_servers_current(&self, remote: KnownState) -> bool {
         let mut directory = self.view.directory();
-        let has_none_lapsing = directory.lapsing_names().is_empty();
-        if has_none_lapsing {
+        let is_confirmed = directory.lapsing_names().is_empty();
+        if is_confirmed {
             directory.on_known_to(remote.servers);
         }
-        has_none_lapsing
+        is_confirmed
     }
 
     /// Returns the query for everything that the run `of` knows beyond this instance.
--- a/crates/server/src/gateway/crashes.rs
+++ b/crates/server/src/gateway/crashes.rs
@@ -24,11 +24,11 @@
 
 /// Interval between two checks of servers whose fate is unknown.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Time after which an unknown fate stays unresolved: register entries lapse within 4 s,
+/// Time after which an unknown fate stays unresolved: register entries expire within 4 s,
 /// and it takes another second until that is read.
 const UNRESOLVED_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time after which a server that is still registered counts as running: the entry of a
-/// crashed one would have lapsed by then, and the register been read.
+/// crashed one would have expired by then, and the register been read.
 const STILL_RUNNING_AFTER: Duration = Duration::from_secs(8);
 /// Time within which a server that seems to have crashed may return as the same run, as
 /// after a network partition.
@@ -76,9 +76,9 @@
     /// Returns whether a server that was judged crashed is still running, according to a
     /// fresh register.
     fn is_still_running(&self, registered: Registered) -> bool {
-        let has_lapsed = self.evidence == Some(Evidence::Lapsed);
+        let has_expired = self.evidence == Some(Evidence::Lapsed);
         registered == Registered::Ready
-            && (has_lapsed || self.since.elapsed() >= STILL_RUNNING_AFTER)
+            && (has_expired || self.since.elapsed() >= STILL_RUNNING_AFTER)
     }
 }
 
--- a/crates/server/src/gateway/failover.rs
+++ b/crates/server/src/gateway/failover.rs
@@ -21,7 +21,8 @@
 };
 use crate::http_body::{self, Body};
 
-/// Maximum number of servers that a request is tried at.
+/// Maximum number of servers that a request is tried at, counting those that were not
+/// reached or did not run it.
 const MAX_TRIED_SERVERS: usize = 4;
 
 impl Forwarder {
@@ -62,7 +63,8 @@
             let sending = self.send_to(&caller, &inputs, &tried, &server, may_fail_over);
             let (sent, guard) = tokio::select! {
                 sent = self.release_once_fetched(&caller.service, guard, sending) => sent,
-                () = self.shutdown.wait_until_within(Duration::ZERO) => return Err(FailureReason::Overdue),
+                () = self.shutdown.wait_until_within(Duration::ZERO) =>
+                return Err(FailureReason::Overdue),
             };
             inputs.guard = guard;
             let sent = sent.ok_or(FailureReason::Overdue)?;
--- a/crates/server/src/gateway/forward.rs
+++ b/crates/server/src/gateway/forward.rs
@@ -192,7 +192,8 @@
         };
         let ended = tokio::select! {
             ended = self.stages.run(submission) => ended,
-            () = self.shutdown.wait_until_within(usual_response_time) => return Err(FailureReason::Leaving),
+            () = self.shutdown.wait_until_within(usual_response_time) =>
+                return Err(FailureReason::Leaving),
         };
         match ended.outcome {
             StageOutcome::Ready(results) => {
@@ -208,7 +209,7 @@
             }
             // The runner of stages resubmits those that were handed over and never
             // returns this.
-            StageOutcome::Moved { .. } => Err(FailureReason::StageSubmitter(Refusal::Failed, 0)),
+            StageOutcome::Moved { .. } => Err(FailureReason::Stages(Refusal::Failed, 0)),
             StageOutcome::Refused {
                 reason: Refusal::EndsServers,
                 ..
@@ -222,7 +223,7 @@
                     "route" => &route.name, "reason" => reason.as_str(),
                     "forecast_ms" => forecast_ms, "goal_ms" => route.goal_ms,
                     "rest_ms" => estimate_rest_ms(caller), "elapsed_ms" => elapsed_ms);
-                Err(FailureReason::StageSubmitter(reason, retry_after_ms))
+                Err(FailureReason::Stages(reason, retry_after_ms))
             }
         }
     }
@@ -235,7 +236,7 @@
     }
 
     /// Returns how long a request may wait before it is sent: until its deadline or,
-    /// while this instance shuts down, until `answer_time` before the final responses are
+    /// while this instance shuts down, until `usual_response_time` before the final responses are
     /// due.
     pub(super) fn wait_budget(
         &self,
--- a/crates/server/src/gateway/instance.rs
+++ b/crates/server/src/gateway/instance.rs
@@ -331,7 +331,7 @@
         };
         tasks.spawn(store_follower::configuration(follower.clone()));
         tasks.spawn(server_register::follow(follower.clone()));
-        tasks.spawn(server_register::remove_lapsed(Arc::clone(&self.view)));
+        tasks.spawn(server_register::remove_expired(Arc::clone(&self.view)));
         tasks.spawn(store_follower::instances(follower));
         let watch = SchedulerWatch {
             members: Arc::clone(&self.members),
--- a/crates/server/src/gateway/instance_list.rs
+++ b/crates/server/src/gateway/instance_list.rs
@@ -46,7 +46,7 @@
     }
 
     /// Merges listed instances, after which the list is known up to `cursor`. Instances
-    /// stay listed when they are gone. Returns whether any entry changed beside its
+    /// stay listed when they are gone. Returns whether any entry changed other than its
     /// position.
     pub(super) fn update(&mut self, peers: Vec<ListedPeer>, cursor: Cursor) -> bool {
         let mut has_changed = false;
--- a/crates/server/src/gateway/limits.rs
+++ b/crates/server/src/gateway/limits.rs
@@ -77,13 +77,12 @@
         remote_revision: u64,
     ) {
         let last_exchange = *lock(&self.last_exchange);
-        let last_exchange =
-            last_exchange.filter(|last_exchange| last_exchange.incarnation == incarnation);
-        let (received, sent) = last_exchange.map_or((0, 0), |last_exchange| {
-            (last_exchange.remote_revision, last_exchange.local_revision)
+        let last_exchange = last_exchange.filter(|exchanged| exchanged.incarnation == incarnation);
+        let (received, sent) = last_exchange.map_or((0, 0), |exchanged| {
+            (exchanged.remote_revision, exchanged.local_revision)
         });
-        let is_recent = last_exchange
-            .is_some_and(|last_exchange| last_exchange.at.elapsed() < EXCHANGE_INTERVAL);
+        let is_recent =
+            last_exchange.is_some_and(|exchanged| exchanged.at.elapsed() < EXCHANGE_INTERVAL);
         let (local_revision, reports) = self.own_since(sent);
         if is_recent || (received == remote_revision && reports.is_empty()) {
             return;
--- a/crates/server/src/gateway/local_reply.rs
+++ b/crates/server/src/gateway/local_reply.rs
@@ -36,7 +36,7 @@
     /// Its body was truncated or its framing is invalid.
     BadBody,
     /// Its stages would miss the deadline, or failed; with the `Retry-After`, in ms.
-    StageSubmitter(Refusal, u64),
+    Stages(Refusal, u64),
     /// Too many servers crashed under it; with the time for which it is not sent again,
     /// in ms, if that is known.
     EndsServers(Option<u64>),
@@ -69,7 +69,7 @@
             Self::LargeBody => "large_body",
             Self::SlowBody => "slow_body",
             Self::BadBody => "bad_body",
-            Self::StageSubmitter(refusal, _) => refusal.as_str(),
+            Self::Stages(refusal, _) => refusal.as_str(),
             Self::EndsServers(_) => "ends_servers",
             Self::CopyRuns(_) => "copy_runs",
             Self::Leaving => "leaving",
@@ -91,7 +91,7 @@
             Self::SlowBody => StatusCode::REQUEST_TIMEOUT,
             Self::BadBody => StatusCode::BAD_REQUEST,
             Self::Starting
-            | Self::StageSubmitter(..)
+            | Self::Stages(..)
             | Self::CopyRuns(_)
             | Self::Leaving
             | Self::NoServer
@@ -106,7 +106,7 @@
     fn retry_after_ms(self) -> Option<u64> {
         match self {
             Self::Starting => Some(STARTING_RETRY_AFTER_MS),
-            Self::StageSubmitter(_, retry_after_ms) => Some(retry_after_ms),
+            Self::Stages(_, retry_after_ms) => Some(retry_after_ms),
             Self::EndsServers(retry_after_ms) => retry_after_ms,
             Self::CopyRuns(retry_after_ms)
             | Self::Limited(retry_after_ms)
--- a/crates/server/src/gateway/quarantine.rs
+++ b/crates/server/src/gateway/quarantine.rs
@@ -317,8 +317,8 @@
             Ok(_) => self.queue_reports(unreported),
             Err(err) => {
                 if !unreported.is_empty() {
-                    warn!(self.log, "crash reports not sent"; "to" => %scheduler, "ends" => unreported.len(),
-                        "error" => %err);
+                    warn!(self.log, "crash reports not sent"; "to" => %scheduler,
+                        "ends" => unreported.len(), "error" => %err);
                 }
                 self.queue_reports(unreported);
             }
--- a/crates/server/src/gateway/relay.rs
+++ b/crates/server/src/gateway/relay.rs
@@ -152,7 +152,7 @@
         let stream_end = loop {
             let stream_end = self.forward_events().await;
             let is_resumed = match stream_end {
-                StreamEnd::Broken => self.may_resume() && self.resume().await,
+                StreamEnd::Broken => self.try_spend_resume() && self.resume().await,
                 StreamEnd::Silent => self.resume().await,
                 StreamEnd::Whole
                 | StreamEnd::CallerGone
@@ -212,7 +212,7 @@
                 () = &mut process_exit => return StreamEnd::Leaving,
                 () = time::sleep(event_timeout), if is_timer_armed => {
                     is_timer_armed = false;
-                    if self.may_resume() {
+                    if self.try_spend_resume() {
                         self.abandon_silent_server(event_timeout);
                         return StreamEnd::Silent;
                     }
@@ -262,13 +262,13 @@
 
     fn record_outcome(&mut self, outcome: ServerOutcome) {
         if let Some(server) = self.source.server.take() {
-            server.end(outcome);
+            server.finish(outcome);
         }
     }
 
     /// Returns whether another server may resume the stream, and takes a retry from the
     /// budget if so.
-    fn may_resume(&self) -> bool {
+    fn try_spend_resume(&self) -> bool {
         let caller = &self.caller;
         caller.is_resumable()
             && (self.tried.len() as u32) < caller.route().max_servers
--- a/crates/server/src/gateway/routing_view.rs
+++ b/crates/server/src/gateway/routing_view.rs
@@ -250,11 +250,11 @@
 
     /// Removes the servers and evacuations that were not written again in time after an
     /// outage.
-    pub(super) fn remove_lapsed(&self) {
+    pub(super) fn remove_expired(&self) {
         let now_ms = self.clock.now_ms();
-        let lapsed = self.directory().remove_lapsed(now_ms);
-        if !lapsed.is_empty() {
-            for server in &lapsed {
+        let expired = self.directory().remove_lapsed(now_ms);
+        if !expired.is_empty() {
+            for server in &expired {
                 info!(self.log, "server changed"; "server" => %server, "source" => "lapse",
                     "state" => "gone");
             }
--- a/crates/server/src/gateway/server_register.rs
+++ b/crates/server/src/gateway/server_register.rs
@@ -25,11 +25,11 @@
 const READ_INTERVAL: Duration = Duration::from_millis(800);
 /// Age of the known register from which all of it is read, in ms: with one record a
 /// second from each server, the records since then are as many as the servers. Entries
-/// lapse after three heartbeats that the store did not accept, which takes longer.
+/// expire after three heartbeats that the store did not accept, which takes longer.
 const FULL_READ_FROM_AGE_MS: u64 = 2_000;
 /// Interval between two checks for servers that have not written their entries again in
 /// time.
-const LAPSE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum number of unreadable entries whose log lines are remembered.
 const MAX_UNREADABLE: usize = 1_024;
 
@@ -59,7 +59,7 @@
         let Ok(batch) = read else {
             continue;
         };
-        // Entries may have lapsed during an outage; that is judged by the state before
+        // Entries may have expired during an outage; that is judged by the state before
         // this read.
         let had_outage = follower
             .freshness
@@ -73,10 +73,10 @@
 
 /// Periodically removes servers and evacuations that were not written again in time after
 /// the store lost them.
-pub(super) async fn remove_lapsed(view: Arc<RoutingView>) {
+pub(super) async fn remove_expired(view: Arc<RoutingView>) {
     loop {
-        time::sleep(LAPSE_CHECK_INTERVAL).await;
-        view.remove_lapsed();
+        time::sleep(EXPIRY_CHECK_INTERVAL).await;
+        view.remove_expired();
     }
 }
 
--- a/crates/server/src/gateway/stage_calls.rs
+++ b/crates/server/src/gateway/stage_calls.rs
@@ -54,7 +54,7 @@
 struct Destination<'a> {
     server: &'a BackendName,
     addr: SocketAddr,
-    answered: ResponseTo<'a>,
+    responds_to: ResponseTo<'a>,
 }
 
 impl StageClient {
@@ -103,10 +103,10 @@
         let requests: BTreeMap<RequestDigest, RequestId> = requests
             .map(|item| (item.digest, item.request.clone()))
             .collect();
-        let request_digests = requests.iter().map(|(digest, id)| (id.clone(), *digest));
+        let lost_requests = requests.iter().map(|(digest, id)| (id.clone(), *digest));
         let lost = LostConnection {
             server: server.clone(),
-            requests: request_digests.collect(),
+            requests: lost_requests.collect(),
             other_requests: 0,
         };
         let fate = self.crash_detector.on_connection_lost(lost).await;
@@ -156,7 +156,7 @@
         let to = Destination {
             server: &call.server,
             addr: call.addr,
-            answered: ResponseTo::Call(call.id),
+            responds_to: ResponseTo::Call(call.id),
         };
         let response = self.post(to, stages::RUN_PATH, body, timeout).await;
         let (head, response) = match response {
@@ -211,7 +211,7 @@
         let on_head = |head: &response::Parts| {
             let head = answer::decode(head.status, &head.headers);
             self.view
-                .on_response_head(to.server, sent_at_ms, to.answered, &head);
+                .on_response_head(to.server, sent_at_ms, to.responds_to, &head);
             head
         };
         self.servers
@@ -250,7 +250,7 @@
         let to = Destination {
             server,
             addr,
-            answered: ResponseTo::Free,
+            responds_to: ResponseTo::Free,
         };
         let freed = self.post(to, stages::FREE_PATH, body, FREE_TIMEOUT).await;
         if let Err(err) = freed {
--- a/crates/server/src/gateway/store.rs
+++ b/crates/server/src/gateway/store.rs
@@ -27,7 +27,7 @@
 /// Timeout of a page of a whole topic, which is a megabyte or more in a large fleet and
 /// is transferred over a link of 10 Mbit/s.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Maximum number of attempts to read a page after the first page has been read.
+/// Maximum number of attempts to read a page other than the first.
 const MAX_PAGE_ATTEMPTS: u32 = 3;
 /// Range of the random delay before the next attempt, in ms: spread, since other
 /// instances retry too.
