--- a/crates/server/src/gateway/grants.rs
+++ b/crates/server/src/gateway/grants.rs
@@ -81,7 +81,9 @@
         Err(reason)
     }
 
-    /// Returns the servers to request a grant for; empty if `chosen` needs none.
+    /// Returns the rate-limited servers to request a grant for; empty if `chosen` needs
+    /// none. While some servers need no grant, these are only `chosen`, unless
+    /// `includes_all`.
     fn grant_candidates(
         &self,
         placement: &Placement<'_>,
--- a/crates/server/src/gateway/instance.rs
+++ b/crates/server/src/gateway/instance.rs
@@ -21,7 +21,7 @@
     ingress::{self, Service},
     limits::LimitSharing,
     members::{self, Members},
-    peer_messages::PeerMessages,
+    peer_messages::PeerMessageRouter,
     quarantine::Quarantine,
     quarantine_store::QuarantineStore,
     routing_view::RoutingView,
@@ -183,7 +183,7 @@
     quarantine: Arc<Quarantine>,
     limits: Arc<LimitSharing>,
     forwarder: Arc<Forwarder>,
-    peer_server: PeerServer<PeerMessages>,
+    peer_server: PeerServer<PeerMessageRouter>,
 }
 
 impl Components {
@@ -277,7 +277,7 @@
             members: Arc::clone(&members),
             limits: Arc::clone(&limits),
         });
-        let handler = Arc::new(PeerMessages {
+        let handler = Arc::new(PeerMessageRouter {
             members: Arc::clone(&members),
             catch_up: Arc::clone(&catch_up),
             dispatch: Arc::clone(&dispatch),
--- a/crates/server/src/gateway/peer_messages.rs
+++ b/crates/server/src/gateway/peer_messages.rs
@@ -21,7 +21,7 @@
 const STARTUP_WINDOW: Duration = Duration::from_millis(1_000);
 
 /// Routes messages from peers to the components that handle them.
-pub(super) struct PeerMessages {
+pub(super) struct PeerMessageRouter {
     pub(super) started: Instant,
     pub(super) members: Arc<Members>,
     pub(super) catch_up: Arc<CatchUp>,
@@ -31,7 +31,7 @@
     pub(super) phases: Arc<Phases>,
 }
 
-impl PeerMessages {
+impl PeerMessageRouter {
     /// Returns whether this instance schedules for others, or will in a moment.
     fn is_taking(&self) -> bool {
         match self.phases.current() {
@@ -42,7 +42,7 @@
     }
 }
 
-impl PeerHandler for PeerMessages {
+impl PeerHandler for PeerMessageRouter {
     fn on_gossip(&self, _from: &PeerId, _message: Message) {
         metrics::counter!("savoryvane_peer_unexpected_total").increment(1);
     }
--- a/crates/server/src/gateway/quarantine_store.rs
+++ b/crates/server/src/gateway/quarantine_store.rs
@@ -17,7 +17,7 @@
 /// Time from the start of an instance to receive the known crashes from a peer before it
 /// reads them from the store, which takes a call: about as long as it takes to learn
 /// routes and servers, so that its first requests hardly wait. With 150 ms they had too
-/// little time left for their stages on a busy machine (11 of 20 runs of a test run alongside
+/// little time left for their stages on a busy machine (in 11 of 20 test runs alongside
 /// ten busy processes).
 const PEER_TIMEOUT: Duration = Duration::from_millis(30);
 /// Longest time between two checks for requests to persist or to expire.
