--- a/crates/server/src/gateway/departure.rs
+++ b/crates/server/src/gateway/departure.rs
@@ -1,4 +1,4 @@
-//! When this instance ends, and what time that leaves its requests.
+//! When this process exits, and how much time that leaves for requests.
 
 use std::time::Duration;
 
@@ -7,41 +7,41 @@
     time::{self, Instant},
 };
 
-/// Time before the end of the process at which requests that no server has
-/// answered get their final answer: some turns of a busy process, and the way to
-/// the caller.
-const ANSWER_SPARE: Duration = Duration::from_millis(300);
+/// Time before the process exits at which unanswered requests get their final response:
+/// enough for some scheduling delays of a busy process and the network latency to the
+/// caller.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(300);
 
-/// The end of this instance, once it was told to stop.
+/// Deadline of the shutdown, once one has been requested.
 #[derive(Debug)]
-pub(super) struct Departure {
-    answers_by: watch::Sender<Option<Instant>>,
+pub(super) struct ShutdownDeadline {
+    respond_by: watch::Sender<Option<Instant>>,
 }
 
-impl Departure {
+impl ShutdownDeadline {
     pub(super) fn new() -> Self {
         Self {
-            answers_by: watch::Sender::new(None),
+            respond_by: watch::Sender::new(None),
         }
     }
 
-    /// Notes that the process ends at `at`.
+    /// Sets the time at which the process exits.
     pub(super) fn set(&self, at: Instant) {
-        self.answers_by.send_replace(Some(at - ANSWER_SPARE));
+        self.respond_by.send_replace(Some(at - RESPONSE_MARGIN));
     }
 
-    /// Returns the time by which every request has its final answer, once it is
-    /// known.
-    pub(super) fn answers_by(&self) -> Option<Instant> {
-        *self.answers_by.borrow()
+    /// Returns the time by which every request gets its final response, if a shutdown has
+    /// been requested.
+    pub(super) fn respond_by(&self) -> Option<Instant> {
+        *self.respond_by.borrow()
     }
 
-    /// Waits until only `left` remains for answers; for ever while this instance
-    /// is not to stop.
-    pub(super) async fn nears(&self, left: Duration) {
-        let mut answers_by = self.answers_by.subscribe();
+    /// Waits until at most `left` remains before the final responses; waits forever while
+    /// no shutdown has been requested.
+    pub(super) async fn wait_until_within(&self, left: Duration) {
+        let mut respond_by = self.respond_by.subscribe();
         // The sender lives as long as `self`.
-        if let Ok(at) = answers_by.wait_for(Option::is_some).await.map(|at| *at)
+        if let Ok(at) = respond_by.wait_for(Option::is_some).await.map(|at| *at)
             && let Some(at) = at
         {
             time::sleep_until(at.checked_sub(left).unwrap_or(at)).await;
--- a/crates/server/src/gateway/request.rs
+++ b/crates/server/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! One request of a caller on its way through the instance.
+//! A caller's request while it is being processed.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A request as its caller sent it, and what it was matched with.
+/// A request as its caller sent it, with the route that it matched.
 #[derive(Debug)]
 pub(super) struct CallerRequest {
     pub(super) id: RequestId,
@@ -23,13 +23,13 @@
     pub(super) path: PathAndQuery,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
-    /// What it asks for, under whichever identifier.
+    /// Digest of its content, without the identifier.
     pub(super) digest: RequestDigest,
     pub(super) matched: Matched,
-    /// Service that it goes to.
+    /// Service that it is sent to.
     pub(super) service: PoolName,
     pub(super) arrived: Instant,
-    /// Time at which it has its final answer.
+    /// Time by which it gets its final response.
     pub(super) deadline: Instant,
 }
 
@@ -38,7 +38,7 @@
         &self.matched.route
     }
 
-    /// Tells whether it may be sent again after it may have run.
+    /// Returns whether it may be sent again after it may have run.
     pub(super) fn repeats(&self) -> RepeatPolicy {
         if self.route().is_repeatable() {
             RepeatPolicy::Allowed
@@ -47,18 +47,18 @@
         }
     }
 
-    /// Tells whether its stream may go on at another server.
+    /// Returns whether its stream may be resumed at another server.
     pub(super) fn is_resumable(&self) -> bool {
         self.route().kind == RouteKind::Stream && self.route().is_resumable
     }
 
-    /// Returns its prompt, where its route has some.
+    /// Returns its prompt, if its route uses prompts.
     pub(super) fn prompt(&self) -> Option<&Prompt> {
         let has_prompts = self.route().has_prompts;
         self.head.prompt.as_ref().filter(|_| has_prompts)
     }
 
-    pub(super) fn left(&self) -> Duration {
+    pub(super) fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
@@ -74,7 +74,7 @@
         last_event: Option<&str>,
     ) -> Request<Full<Bytes>> {
         let forwarded = Forwarded {
-            left_ms: self.left().as_millis() as u64,
+            left_ms: self.time_left().as_millis() as u64,
             server,
             workspace: self.matched.workspace.as_ref(),
             inputs,
@@ -88,26 +88,26 @@
     }
 }
 
-/// Chooses the service of a request among those that share its route: always
-/// the same one for a session, so that its prompts stay cached.
-pub(super) fn service(route: &Route, head: &RequestHead) -> Option<PoolName> {
+/// Chooses the service of a request by weight among the targets of its route: always the
+/// same one for a session, so that its prompts stay cached.
+pub(super) fn choose_service(route: &Route, head: &RequestHead) -> Option<PoolName> {
     let total: u64 = route.targets.iter().map(|t| u64::from(t.weight)).sum();
     let session = head.prompt.as_ref().and_then(Prompt::session);
     let id = head.id.as_ref().map_or("", RequestId::as_str);
     let hash = session.unwrap_or_else(|| xxh3_64(id.as_bytes()));
-    let mut at = xxh3_64(&hash.to_le_bytes()) % total.max(1);
+    let mut point = xxh3_64(&hash.to_le_bytes()) % total.max(1);
     for target in &route.targets {
         let weight = u64::from(target.weight);
-        if at < weight {
+        if point < weight {
             return Some(target.service.clone());
         }
-        at -= weight;
+        point -= weight;
     }
     route.targets.first().map(|target| target.service.clone())
 }
 
-/// Returns the host that a request names.
-pub(super) fn host<B>(request: &Request<B>) -> &str {
+/// Returns the host that a request is addressed to.
+pub(super) fn request_host<B>(request: &Request<B>) -> &str {
     let header = request.headers().get(header::HOST);
     request
         .uri()
--- a/crates/server/src/gateway/signals.rs
+++ b/crates/server/src/gateway/signals.rs
@@ -1,4 +1,5 @@
-//! Applies the signals of backend servers about themselves, from the heads of all answers.
+//! Applies the signals that backend servers send about themselves in the heads of their
+//! responses.
 
 use http::HeaderName;
 use savoryvane_core::{
@@ -9,39 +10,40 @@
 use savoryvane_platform::answer::AnswerHead;
 use slog::{info, warn};
 
-use super::knowledge::Knowledge;
+use super::routing_view::RoutingView;
 use crate::lock::lock;
 
-/// Most names of unknown headers that are noted.
+/// Maximum number of unknown header names that are remembered.
 const MAX_UNKNOWN_HEADERS: usize = 64;
 
-/// What an answer is an answer to.
+/// What a response responds to.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Answered<'a> {
-    /// A request of a caller.
+pub(super) enum ResponseTo<'a> {
+    /// A caller's request.
     Request(&'a RequestId),
-    /// A call with pieces of stages.
+    /// A call to run pieces of stages.
     Call(CallId),
     /// A call that frees results.
     Free,
 }
 
-/// Whether something may be sent to a server.
+/// Whether a request or call may be sent to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Sendable {
-    /// It may.
+    /// It may be sent.
     Yes,
-    /// It leaves, is gone, or its availability zone is evacuated.
+    /// The server is leaving or gone, or its availability zone is evacuated.
     Closed,
-    /// The server is backing off until a time, in ms.
+    /// The server is backing off until this time, in ms.
     BackingOff(u64),
 }
 
-impl Answered<'_> {
-    /// Tells whether an answer belongs to it, as far as the answer says.
-    fn is_answered_by(self, head: &AnswerHead) -> bool {
+impl ResponseTo<'_> {
+    /// Returns whether a response belongs to the request or call, as far as its head
+    /// shows.
+    fn matches(self, head: &AnswerHead) -> bool {
         match (self, &head.id) {
-            (Self::Request(id), Some(answered)) => id == answered,
+            (Self::Request(id), Some(responds_to)) => id == responds_to,
             (Self::Request(_) | Self::Call(_) | Self::Free, _) => true,
         }
     }
@@ -61,22 +63,22 @@
     }
 }
 
-impl Knowledge {
-    /// Applies the signals in the head of an answer of `server`, to which the request or call
-    /// was sent at `sent_at_ms`.
-    pub(super) fn on_answer_head(
+impl RoutingView {
+    /// Applies the signals in the head of a response of `server` to the request or call
+    /// that was sent at `sent_at_ms`.
+    pub(super) fn on_response_head(
         &self,
         server: &BackendName,
         sent_at_ms: u64,
-        answered: Answered<'_>,
+        responds_to: ResponseTo<'_>,
         head: &AnswerHead,
     ) {
-        self.note_unknown(server, &head.unknown);
+        self.log_unknown_headers(server, &head.unknown);
         if head.is_misdirected {
-            // Another run has the address, and speaks of itself.
+            // Another run has the address, and its signals describe that run.
             self.on_leaving(server, "another run at its address");
-        } else if answered.is_answered_by(head) {
-            self.on_signals(server, sent_at_ms, answered, head);
+        } else if responds_to.matches(head) {
+            self.on_signals(server, sent_at_ms, responds_to, head);
         }
     }
 
@@ -84,20 +86,20 @@
         &self,
         server: &BackendName,
         sent_at_ms: u64,
-        answered: Answered<'_>,
+        responds_to: ResponseTo<'_>,
         head: &AnswerHead,
     ) {
         let signals = head.signals;
         match signals.departure {
             Departure::None => {}
             Departure::Leaving => {
-                info!(self.log, "server says that it leaves"; "server" => %server,
-                    "request" => answered.request(), "call" => answered.call(),
+                info!(self.log, "server announces its shutdown"; "server" => %server,
+                    "request" => responds_to.request(), "call" => responds_to.call(),
                     "sent_at_ms" => sent_at_ms);
                 metrics::counter!("savoryvane_departures_said_total").increment(1);
-                self.on_leaving(server, "its answer");
+                self.on_leaving(server, "response");
             }
-            Departure::Unreadable => self.note_unreadable(server, "server-leaving"),
+            Departure::Unreadable => self.log_unreadable_signal(server, "server-leaving"),
         }
         match signals.backoff {
             BackoffRequest::None => {}
@@ -108,21 +110,21 @@
                     fleet.backoffs().on_request(now_ms, server, backoff_ms);
                     fleet.backoffs().count(now_ms)
                 };
-                info!(self.log, "server asks for backoff"; "server" => %server,
-                    "backoff_ms" => backoff_ms, "request" => answered.request(),
-                    "call" => answered.call(), "sent_at_ms" => sent_at_ms,
+                info!(self.log, "server requests backoff"; "server" => %server,
+                    "backoff_ms" => backoff_ms, "request" => responds_to.request(),
+                    "call" => responds_to.call(), "sent_at_ms" => sent_at_ms,
                     "backing_off" => count);
                 metrics::gauge!("savoryvane_servers_backing_off").set(count as f64);
                 metrics::counter!("savoryvane_backoffs_requested_total").increment(1);
             }
-            BackoffRequest::Unreadable => self.note_unreadable(server, "retry-after"),
+            BackoffRequest::Unreadable => self.log_unreadable_signal(server, "retry-after"),
         }
         if signals.limit.is_meaningful(head.is_success) {
             self.on_limit(server, sent_at_ms, signals.limit);
         }
     }
 
-    /// Tells whether something may be sent to a server now.
+    /// Returns whether a request or call may be sent to a server now.
     pub(super) fn sendable(&self, server: &BackendName) -> Sendable {
         let is_closed = {
             let directory = self.directory();
@@ -139,23 +141,23 @@
         }
     }
 
-    /// Logs unknown headers, once for each name.
-    fn note_unknown(&self, server: &BackendName, names: &[HeaderName]) {
+    /// Logs unknown headers, once per name.
+    fn log_unknown_headers(&self, server: &BackendName, names: &[HeaderName]) {
         for name in names {
             let is_new = {
                 let mut noted = lock(&self.unknown_headers);
                 noted.len() < MAX_UNKNOWN_HEADERS && noted.insert(name.clone())
             };
             if is_new {
-                warn!(self.log, "unknown header of a server"; "server" => %server,
+                warn!(self.log, "unknown response header"; "server" => %server,
                     "header" => name.as_str());
                 metrics::counter!("savoryvane_unknown_headers_total").increment(1);
             }
         }
     }
 
-    pub(super) fn note_unreadable(&self, server: &BackendName, signal: &'static str) {
-        warn!(self.log, "signal not understood"; "server" => %server, "signal" => signal);
+    pub(super) fn log_unreadable_signal(&self, server: &BackendName, signal: &'static str) {
+        warn!(self.log, "invalid server signal"; "server" => %server, "signal" => signal);
         metrics::counter!("savoryvane_signals_unreadable_total", "signal" => signal).increment(1);
     }
 }
--- a/crates/server/src/gateway/calls.rs
+++ b/crates/server/src/gateway/stage_calls.rs
@@ -1,5 +1,5 @@
-//! Calls backend servers with pieces of stages, and tells them which results are not needed
-//! any more.
+//! Calls backend servers to run pieces of stages and to free results that are no longer
+//! needed.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -19,70 +19,70 @@
 use tokio::time::{self, Instant};
 
 use super::{
-    crashes::{CrashDetector, LostServer},
-    knowledge::Knowledge,
+    crashes::{CrashDetector, LostConnection},
     quarantine::Quarantine,
-    signals::{Answered, Sendable},
+    routing_view::RoutingView,
+    signals::{ResponseTo, Sendable},
 };
 use crate::{
     connections::{Connections, SendError},
     platform::request,
 };
 
-/// Largest answer to a call, in bytes: some hundred results with their names.
-const MAX_ANSWER_BYTES: usize = 256 << 10;
-/// Time for a call that frees results to be answered.
+/// Largest response to a call, in bytes: room for some hundred results with their names.
+const MAX_RESPONSE_BYTES: usize = 256 << 10;
+/// Timeout of a call that frees results.
 const FREE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time between two attempts to connect to a server that could not be reached.
+/// Interval between two attempts to connect to an unreachable server.
 const PROBE_INTERVAL: Duration = Duration::from_millis(300);
-/// Attempts before pieces are tried again, by which time one that is not
-/// registered any more is gone.
-const PROBES: u32 = 15;
+/// Attempts before pieces are sent to it again; by then, a server that is no longer
+/// registered has been removed.
+const MAX_PROBES: u32 = 15;
 
-/// The ways from this instance to the servers of stages.
+/// Client for the stage calls of this instance.
 #[derive(Debug)]
-pub(super) struct StageCalls {
-    knowledge: Arc<Knowledge>,
+pub(super) struct StageClient {
+    view: Arc<RoutingView>,
     servers: Arc<Connections>,
-    ends: Arc<CrashDetector>,
+    crash_detector: Arc<CrashDetector>,
     quarantine: Arc<Quarantine>,
     log: Logger,
 }
 
-/// Where a call goes, and what for.
+/// Destination of a call, and what it is for.
 #[derive(Clone, Copy, Debug)]
-struct Addressee<'a> {
+struct Destination<'a> {
     server: &'a BackendName,
     addr: SocketAddr,
-    answered: Answered<'a>,
+    responds_to: ResponseTo<'a>,
 }
 
-impl StageCalls {
+impl StageClient {
     pub(super) fn new(
-        knowledge: Arc<Knowledge>,
+        view: Arc<RoutingView>,
         servers: Arc<Connections>,
-        ends: Arc<CrashDetector>,
+        crash_detector: Arc<CrashDetector>,
         quarantine: Arc<Quarantine>,
         log: Logger,
     ) -> Self {
         Self {
-            knowledge,
+            view,
             servers,
-            ends,
+            crash_detector,
             quarantine,
             log,
         }
     }
 
-    /// Calls a server with pieces, and returns how that ended.
+    /// Calls a server to run pieces, and returns the outcome.
     pub(super) async fn run(&self, call: &StageCall) -> CallOutcome {
         let began = Instant::now();
-        let server = self.knowledge.directory().entry(&call.server).cloned();
+        let server = self.view.directory().entry(&call.server).cloned();
         let mut end = self.exchange(call).await;
         let elapsed_ms = began.elapsed().as_millis() as u64;
         if end == CallOutcome::Lost
             && let Some(server) = server
-            && let Some(ends) = self.on_lost(call, &server).await
+            && let Some(ends) = self.on_connection_lost(call, &server).await
         {
             end = CallOutcome::ServerEnded(ends);
         }
@@ -92,9 +92,9 @@
         end
     }
 
-    /// Finds out whether a server that broke off has ended under the requests of a call;
-    /// returns how many have under each of them.
-    async fn on_lost(
+    /// Finds out whether a server whose connection broke crashed under the requests of a
+    /// call; if so, returns the crash count of each of them.
+    async fn on_connection_lost(
         &self,
         call: &StageCall,
         server: &ServerEntry,
@@ -103,21 +103,21 @@
         let requests: BTreeMap<RequestDigest, RequestId> = requests
             .map(|item| (item.digest, item.request.clone()))
             .collect();
-        let called = requests.iter().map(|(digest, id)| (id.clone(), *digest));
-        let lost = LostServer {
+        let lost_requests = requests.iter().map(|(digest, id)| (id.clone(), *digest));
+        let lost = LostConnection {
             server: server.clone(),
-            requests: called.collect(),
-            others: 0,
+            requests: lost_requests.collect(),
+            other_requests: 0,
         };
-        let fate = self.ends.on_lost(lost).await;
+        let fate = self.crash_detector.on_connection_lost(lost).await;
         let digests = requests.into_keys();
-        let ends = digests.map(|digest| (digest, self.quarantine.ends(&digest)));
+        let ends = digests.map(|digest| (digest, self.quarantine.crash_count(&digest)));
         matches!(fate, LostServerStatus::Ended(_)).then(|| ends.collect())
     }
 
     fn log_call(&self, call: &StageCall, end: &CallOutcome, elapsed_ms: u64) {
         let CallOutcome::Answered(items) = end else {
-            warn!(self.log, "pieces not called"; "call" => call.id.0,
+            warn!(self.log, "stage call failed"; "call" => call.id.0,
                 "service" => %call.service, "server" => %call.server,
                 "pieces" => call.items.len(), "elapsed_ms" => elapsed_ms, "end" => end.as_str());
             return;
@@ -126,7 +126,7 @@
         let done = items
             .iter()
             .filter(|item| matches!(item, ItemOutcome::Done(_)));
-        info!(self.log, "pieces called"; "call" => call.id.0, "service" => %call.service,
+        info!(self.log, "stage call completed"; "call" => call.id.0, "service" => %call.service,
             "server" => %call.server, "pieces" => items.len(), "done" => done.count(),
             "late" => count(&ItemOutcome::Late), "input_gone" => count(&ItemOutcome::InputGone),
             "no_room" => count(&ItemOutcome::NoRoom), "failed" => count(&ItemOutcome::Failed),
@@ -146,73 +146,74 @@
         let body = match stages::encode_run(&call.items) {
             Ok(body) => body,
             Err(err) => {
-                warn!(self.log, "pieces not encoded"; "error" => %err);
+                warn!(self.log, "stage call not encoded"; "error" => %err);
                 return CallOutcome::Unreachable;
             }
         };
         // Signals may have arrived since the server was chosen.
-        if let Some(end) = self.not_sent(call) {
+        if let Some(end) = self.send_blocked(call) {
             return end;
         }
         let timeout = Duration::from_millis(call.timeout_ms);
-        let to = Addressee {
+        let to = Destination {
             server: &call.server,
             addr: call.addr,
-            answered: Answered::Call(call.id),
+            responds_to: ResponseTo::Call(call.id),
         };
-        let answer = self.post(to, stages::RUN_PATH, body, timeout).await;
-        let (head, answer) = match answer {
-            Ok(answer) => answer,
+        let response = self.post(to, stages::RUN_PATH, body, timeout).await;
+        let (head, response) = match response {
+            Ok(response) => response,
             Err(SendError::NotSent(_)) => {
-                return self.not_sent(call).unwrap_or(CallOutcome::Unreachable);
+                return self.send_blocked(call).unwrap_or(CallOutcome::Unreachable);
             }
             Err(SendError::Sent(_)) => return CallOutcome::Lost,
         };
-        let status = answer.status();
+        let status = response.status();
         if head.is_misdirected {
             return CallOutcome::Misdirected;
         }
         if head.is_not_run {
-            return self.not_sent(call).unwrap_or(CallOutcome::Full);
+            return self.send_blocked(call).unwrap_or(CallOutcome::Full);
         }
-        match stages::decode_run(answer.body()) {
+        match stages::decode_run(response.body()) {
             Ok(items) if status == StatusCode::OK && items.len() == call.items.len() => {
                 CallOutcome::Answered(items)
             }
             Ok(_) => CallOutcome::Lost,
             Err(err) => {
-                warn!(self.log, "answer to pieces not understood"; "call" => call.id.0,
+                warn!(self.log, "invalid response to stage call"; "call" => call.id.0,
                     "server" => %call.server, "status" => status.as_u16(), "error" => %err);
                 CallOutcome::Lost
             }
         }
     }
 
-    /// Returns how a call ends that its server does not take now.
-    fn not_sent(&self, call: &StageCall) -> Option<CallOutcome> {
-        match self.knowledge.sendable(&call.server) {
+    /// Returns the outcome of a call that may not be sent to its server now, `None` if it
+    /// may.
+    fn send_blocked(&self, call: &StageCall) -> Option<CallOutcome> {
+        match self.view.sendable(&call.server) {
             Sendable::Yes => None,
             Sendable::Closed => Some(CallOutcome::Misdirected),
             Sendable::BackingOff(until_ms) => Some(CallOutcome::BackingOff(until_ms)),
         }
     }
 
-    /// Sends a call, and applies what its answer says of the server; returns the answer and
-    /// its decoded head.
+    /// Sends a call, and applies the signals in the response to the server's state;
+    /// returns the response and its decoded head.
     async fn post(
         &self,
-        to: Addressee<'_>,
+        to: Destination<'_>,
         path: &str,
         body: Vec<u8>,
         timeout: Duration,
     ) -> Result<(AnswerHead, http::Response<Bytes>), SendError> {
         let mut request = request(Method::POST, to.addr, path, body.into());
         request.headers_mut().extend(stages::headers(to.server));
-        let sent_at_ms = self.knowledge.now_ms();
+        let sent_at_ms = self.view.now_ms();
         let on_head = |head: &response::Parts| {
             let head = answer::decode(head.status, &head.headers);
-            self.knowledge
-                .on_answer_head(to.server, sent_at_ms, to.answered, &head);
+            self.view
+                .on_response_head(to.server, sent_at_ms, to.responds_to, &head);
             head
         };
         self.servers
@@ -220,14 +221,15 @@
                 to.addr,
                 request,
                 timeout,
-                MAX_ANSWER_BYTES,
-                || self.knowledge.sendable(to.server) == Sendable::Yes,
+                MAX_RESPONSE_BYTES,
+                || self.view.sendable(to.server) == Sendable::Yes,
                 on_head,
             )
             .await
     }
 
-    /// Tells a server that results are not needed any more; returns whether it was asked.
+    /// Asks a server to free results that are no longer needed. Returns `false` if the
+    /// request could not be encoded, so that it was never sent.
     pub(super) async fn free(
         &self,
         server: &BackendName,
@@ -241,35 +243,34 @@
                 return false;
             }
         };
-        let is_limited = self
-            .knowledge
-            .fleet()
-            .limits()
-            .limit_per_s(server)
-            .is_some();
-        if self.knowledge.sendable(server) != Sendable::Yes || is_limited {
-            // What a limited server takes is left for pieces; servers drop results by
-            // themselves a little later.
+        let is_limited = self.view.fleet().limits().limit_per_s(server).is_some();
+        if self.view.sendable(server) != Sendable::Yes || is_limited {
+            // The limited rate is left to pieces; servers drop unreleased results a
+            // little later.
             return true;
         }
-        let to = Addressee {
+        let to = Destination {
             server,
             addr,
-            answered: Answered::Free,
+            responds_to: ResponseTo::Free,
         };
         let freed = self.post(to, stages::FREE_PATH, body, FREE_TIMEOUT).await;
         if let Err(err) = freed {
-            // The server drops them by itself a little later.
+            // The server drops them itself a little later.
             warn!(self.log, "results not freed"; "server" => %server, "results" => handles.len(),
                 "error" => %err);
         }
         true
     }
 
-    /// Tries to connect to a server that could not be reached until that succeeds; returns
-    /// whether it did in time.
-    pub(super) async fn reach(&self, server: &BackendName, addr: SocketAddr) -> bool {
-        for _ in 0..PROBES {
+    /// Tries to connect to an unreachable server until that succeeds; returns whether it
+    /// did within `MAX_PROBES` attempts.
+    pub(super) async fn wait_until_reachable(
+        &self,
+        server: &BackendName,
+        addr: SocketAddr,
+    ) -> bool {
+        for _ in 0..MAX_PROBES {
             time::sleep(PROBE_INTERVAL).await;
             if self.servers.warm(addr).await {
                 info!(self.log, "server reached again"; "server" => %server);
@@ -279,8 +280,8 @@
         false
     }
 
-    /// Closes the connections that are kept to an address: another run may have it.
-    pub(super) fn forget(&self, addr: SocketAddr) {
+    /// Closes the pooled connections to an address, which another run may have now.
+    pub(super) fn close_connections(&self, addr: SocketAddr) {
         self.servers.forget(addr);
     }
 }
