--- a/crates/core/src/execution.rs
+++ b/crates/core/src/execution.rs
@@ -1,9 +1,9 @@
 //! The state machine of one request, from its arrival to its final answer.
 //!
-//! The process around it hands in what happened and carries out the returned
-//! actions. A call counts as handed to a socket from the moment it is asked for
-//! with [`Action::Send`] until [`Event::NotSent`] takes that back, so that an
-//! outcome never claims less than may have run.
+//! The surrounding process passes in events and carries out the returned
+//! actions. A call counts as handed to a socket from its [`Action::Send`] until
+//! an [`Event::NotSent`] revokes it, so that an outcome never understates what
+//! may have run.
 
 use std::sync::Arc;
 
@@ -19,110 +19,110 @@
     outcome::Outcome,
 };
 
-mod answer;
+mod accounting;
 mod attempt;
-mod booking;
 mod finish;
 mod overdue;
 mod reason;
-mod repeat;
+mod response;
+mod retry;
 mod stream;
 
 use attempt::Attempt;
 pub use reason::Reason;
 use stream::TokenStream;
 
-/// What is known of a request when it is taken.
+/// The parameters of a request at arrival.
 #[derive(Clone, Debug)]
 pub struct ExecutionSpec {
     /// Identifier of the request.
     pub request: RequestId,
-    /// Workspace that it belongs to.
+    /// Workspace of the request.
     pub workspace: WorkspaceName,
-    /// Pipeline that it runs through, as configured when it was taken.
+    /// Pipeline to run, as configured when the request arrived.
     pub pipeline: Arc<Pipeline>,
-    /// Input of the caller.
+    /// Input from the caller.
     pub input: Value,
-    /// Time by which the whole answer is due, in ms.
+    /// Deadline for the complete response, in ms.
     pub deadline_at_ms: u64,
-    /// Number before that of its first attempt; attempt numbers are unique
+    /// Number preceding that of the first attempt. Attempt numbers are unique
     /// within the request across every instance that works on it.
     pub attempt_base: u64,
-    /// What its operator weighs more heavily.
+    /// Objective that the operator prioritises.
     pub objective: Objective,
-    /// Priority of its calls; a higher one goes first.
+    /// Priority of its calls; higher values go first.
     pub priority: u8,
     /// Whether an earlier attempt under the same idempotency key may have run.
     pub earlier_may_have_run: bool,
-    /// Hash of the prompt prefix that it shares with others, if it has one.
+    /// Hash of the prompt prefix shared with other requests, if any.
     pub prefix: Option<u64>,
 }
 
-/// What happened to a request.
+/// An input event of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// It may begin.
+    /// Starts the request.
     Start,
-    /// Nothing of the call was handed to a socket, and nothing will be.
+    /// No part of the call was or will be handed to a socket.
     NotSent {
-        /// Attempt that it was.
+        /// Number of the attempt.
         attempt: u64,
     },
     /// The backend server refused the call; it has not run.
     Refused {
-        /// Attempt that it was.
+        /// Number of the attempt.
         attempt: u64,
-        /// Why.
+        /// Reason for the refusal.
         reason: RefusalReason,
-        /// Time for which the server wants no calls from this instance, in ms.
+        /// Backoff that the server requests from this instance, in ms.
         retry_after_ms: Option<u64>,
     },
-    /// The backend server answered.
+    /// The backend server sent a token, a result or an error.
     Answered(StageEvent),
     /// The connection broke after the call had been handed to it.
     Lost {
-        /// Attempt that it was.
+        /// Number of the attempt.
         attempt: u64,
     },
-    /// The connection has been quiet for a while, or for another one; the call
+    /// The connection has been silent for a while, or silent again; the call
     /// may still be running.
     Silent {
-        /// Attempt that it was.
+        /// Number of the attempt.
         attempt: u64,
     },
-    /// The connection is known to be dead, as others to the same backend server
-    /// are, while new ones work; the call may have run.
+    /// The connection is known to be dead, as are others to the same backend
+    /// server, while new connections work; the call may have run.
     Severed {
-        /// Attempt that it was.
+        /// Number of the attempt.
         attempt: u64,
     },
-    /// A timer that was asked for is due.
+    /// The requested timer is due.
     Timer,
-    /// Too many backend servers have ended under the request, under this identifier or
-    /// others.
+    /// Too many backend servers crashed while running the request, under this
+    /// identifier or others.
     Quarantined {
-        /// Time until it is tried again, in ms.
+        /// Time until the request may be tried again, in ms.
         retry_after_ms: u64,
     },
     /// The caller has closed its connection.
     CallerGone,
 }
 
-/// What has to be done for a request.
+/// An output action of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Sends a call, or reports it [`Event::NotSent`].
+    /// Sends a call, or reports [`Event::NotSent`].
     Send {
-        /// Backend server that gets it.
+        /// Backend server to send it to.
         backend: BackendName,
         /// The call.
         call: Box<StageCall>,
         /// Time after which it must not be handed to a socket, in ms.
         not_after_ms: u64,
     },
-    /// Gives up a call; its events are not wanted.
+    /// Cancels a call; its further events are ignored.
     Cancel {
-        /// Backend server that has it.
+        /// Backend server that runs it.
         backend: BackendName,
         /// The call.
         call: CallId,
@@ -134,32 +134,32 @@
         /// Text of the token.
         text: String,
     },
-    /// Asks for [`Event::Timer`] at a time; replaces any earlier timer.
+    /// Requests [`Event::Timer`] at a time; replaces any earlier timer.
     SetTimer {
         /// Time, in ms.
         at_ms: u64,
     },
-    /// Reports a decision.
+    /// Logs a decision.
     Log(Box<Decision>),
-    /// Counts an answer that was not used.
+    /// Counts a discarded response.
     Discard {
-        /// Identifiers that it carried.
+        /// Identifiers carried by the response.
         id: CallId,
-        /// Why it was not used.
+        /// Reason for discarding it.
         reason: DiscardReason,
     },
-    /// Answers the caller; nothing but `Cancel` and `Discard` follows.
+    /// Responds to the caller; only `Cancel` and `Discard` may follow.
     Finish(Box<Completion>),
 }
 
-/// Why an answer of a backend server was not used.
+/// The reason why a response of a backend server was discarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DiscardReason {
-    /// Its call had ended or was given up.
+    /// Its call had already ended or been cancelled.
     Late,
-    /// No such call was ever made; its connection should be closed.
+    /// Its call was never made; the connection should be closed.
     Foreign,
-    /// Its tokens were not those of the stream; its connection should be closed.
+    /// Its tokens contradict the stream; the connection should be closed.
     Broken,
 }
 
@@ -174,43 +174,43 @@
     }
 }
 
-/// The final answer to a request.
+/// The final response to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Completion {
-    /// How it ended.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// Why, for every outcome but `complete`.
+    /// Reason, for every outcome except `complete`.
     pub reason: Option<Reason>,
-    /// Output of the last stage, for `complete`.
+    /// Output of the last stage, if the outcome is `complete`.
     pub output: Option<Value>,
-    /// When to come back, in ms.
+    /// Time after which to retry, in ms.
     pub retry_after_ms: Option<u64>,
     /// Time and cost by stage.
     pub stages: Vec<StageUsage>,
 }
 
-/// The state of one request.
+/// The state machine of one request.
 #[derive(Debug)]
 pub struct Execution {
     spec: ExecutionSpec,
     stage_index: usize,
     stage_started_ms: u64,
-    /// Calls of the stage that may still answer.
+    /// Calls of the current stage that may still receive a response.
     live: Vec<Attempt>,
-    /// Backend servers that the stage has been sent to.
+    /// Backend servers that calls of the current stage were sent to.
     tried: Vec<BackendName>,
-    /// Attempts made at the stage.
+    /// Attempts made at the current stage.
     stage_attempts: u32,
-    /// Those of them that were refused.
+    /// Attempts at the current stage that were refused.
     refusals: u32,
     next_attempt: u64,
     stream: TokenStream,
     previous: Value,
     usage: Vec<StageUsage>,
     /// Calls that were or may have been handed to a socket.
-    handed_over: u32,
-    /// Non-idempotent calls among them, but for those known not to have run.
-    maybe_effective: u32,
+    calls_sent: u32,
+    /// Non-idempotent calls among them, except those known not to have run.
+    possible_effects: u32,
     timer_at_ms: Option<u64>,
     state: State,
 }
@@ -237,61 +237,60 @@
             stream: TokenStream::default(),
             previous: Value::Null,
             usage: Vec::new(),
-            handed_over: 0,
-            maybe_effective: 0,
+            calls_sent: 0,
+            possible_effects: 0,
             timer_at_ms: None,
             state: State::New,
         }
     }
 
-    /// Tells whether the final answer has been given.
+    /// Returns whether the final response has been given.
     pub fn is_finished(&self) -> bool {
         self.state == State::Finished
     }
 
-    /// Tells whether a non-idempotent call may have run or may still run. Until
-    /// then a claim of the request's key can be released.
+    /// Returns whether a non-idempotent call may have run or may still run.
+    /// While this is false, a claim of the request's key can be released.
     pub fn may_have_taken_effect(&self) -> bool {
-        self.maybe_effective > 0
+        self.possible_effects > 0
     }
 
-    /// Takes in what happened at `now_ms` and returns what has to be done, in
-    /// order.
+    /// Handles an event at `now_ms` and returns the resulting actions in order.
     pub fn on_event(&mut self, now_ms: u64, event: Event, fleet: &mut Fleet) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.state == State::Finished {
             self.discard_late(&event, &mut actions);
             return actions;
         }
-        let mut turn = Turn {
+        let mut context = EventContext {
             now_ms,
             fleet,
             actions: &mut actions,
         };
-        self.take(event, &mut turn);
+        self.handle_event(event, &mut context);
         if self.state == State::Running {
-            self.check_time(&mut turn);
+            self.check_deadline(&mut context);
         }
         actions
     }
 
-    fn take(&mut self, event: Event, turn: &mut Turn<'_>) {
+    fn handle_event(&mut self, event: Event, context: &mut EventContext<'_>) {
         match event {
-            Event::Start if self.state == State::New => self.start(turn),
+            Event::Start if self.state == State::New => self.start(context),
             Event::Start => {}
             Event::Timer => self.timer_at_ms = None,
-            Event::NotSent { attempt } => self.on_not_sent(attempt, turn),
+            Event::NotSent { attempt } => self.on_not_sent(attempt, context),
             Event::Refused {
                 attempt,
                 reason,
                 retry_after_ms,
-            } => self.on_refused(attempt, reason, retry_after_ms, turn),
-            Event::Answered(answer) => self.on_answer(answer, turn),
-            Event::Lost { attempt } => self.on_lost(attempt, turn),
-            Event::Silent { attempt } => self.on_silent(attempt, turn),
-            Event::Severed { attempt } => self.on_severed(attempt, turn),
-            Event::Quarantined { retry_after_ms } => self.on_quarantined(retry_after_ms, turn),
-            Event::CallerGone => self.on_caller_gone(turn),
+            } => self.on_refused(attempt, reason, retry_after_ms, context),
+            Event::Answered(answer) => self.on_response(answer, context),
+            Event::Lost { attempt } => self.on_lost(attempt, context),
+            Event::Silent { attempt } => self.on_silent(attempt, context),
+            Event::Severed { attempt } => self.on_severed(attempt, context),
+            Event::Quarantined { retry_after_ms } => self.on_quarantined(retry_after_ms, context),
+            Event::CallerGone => self.on_caller_gone(context),
         }
     }
 
@@ -331,15 +330,15 @@
     }
 }
 
-/// One call of [`Execution::on_event`].
-struct Turn<'a> {
+/// The context of one call of [`Execution::on_event`].
+struct EventContext<'a> {
     now_ms: u64,
     fleet: &'a mut Fleet,
     actions: &'a mut Vec<Action>,
 }
 
-impl Turn<'_> {
-    fn act(&mut self, action: Action) {
+impl EventContext<'_> {
+    fn push_action(&mut self, action: Action) {
         self.actions.push(action);
     }
 }
--- a/crates/core/src/execution/booking.rs
+++ b/crates/core/src/execution/accounting.rs
@@ -1,6 +1,6 @@
-//! What the calls of a request have cost.
+//! Accounts for the cost of the calls of a request.
 
-use super::{Action, Execution, Turn, attempt::Attempt};
+use super::{Action, EventContext, Execution, attempt::Attempt};
 use crate::{
     cost::{StageUsage, cost_micros},
     fleet::{CallEnd, Progress},
@@ -9,13 +9,14 @@
 const US_PER_MS: u64 = 1_000;
 
 impl Execution {
-    /// Gives up every call that is still running. One that may not be repeated
-    /// is left to run: what it does is done once, and is known as such.
-    pub(super) fn abandon_live(&mut self, turn: &mut Turn<'_>) {
+    /// Abandons every call that is still running. Non-idempotent calls are not
+    /// cancelled: letting them run makes sure that their effect happens
+    /// completely and once.
+    pub(super) fn abandon_live(&mut self, context: &mut EventContext<'_>) {
         for attempt in std::mem::take(&mut self.live) {
-            self.book_wasted(&attempt, None, CallEnd::Abandoned, turn);
+            self.record_wasted(&attempt, None, CallEnd::Abandoned, context);
             if self.stage().idempotent {
-                turn.act(Action::Cancel {
+                context.push_action(Action::Cancel {
                     call: self.call_id(attempt.number),
                     backend: attempt.backend,
                 });
@@ -23,41 +24,51 @@
         }
     }
 
-    pub(super) fn book_used(&mut self, attempt: &Attempt, busy_us: u64, turn: &mut Turn<'_>) {
-        let call_us = elapsed_us(attempt.sent_at_ms, turn.now_ms);
+    pub(super) fn record_used(
+        &mut self,
+        attempt: &Attempt,
+        busy_us: u64,
+        context: &mut EventContext<'_>,
+    ) {
+        let call_us = elapsed_us(attempt.sent_at_ms, context.now_ms);
         let stage = self.stage();
-        if !attempt.has_begun {
-            turn.fleet
+        if !attempt.has_token {
+            context
+                .fleet
                 .on_progress(&stage.pool, Progress::Waiting, call_us);
         }
         if let Some(prefix) = self.route_query(stage).prefix {
-            turn.fleet.on_cache_event(&attempt.backend, prefix, true);
+            context.fleet.on_cache_event(&attempt.backend, prefix, true);
         }
         let end = CallEnd::Done {
             elapsed_us: call_us,
             busy_us,
             was_overdue: attempt.is_overdue,
         };
-        turn.fleet.on_call_ended(turn.now_ms, &attempt.backend, end);
-        self.book(busy_us, false, turn);
+        context
+            .fleet
+            .on_call_ended(context.now_ms, &attempt.backend, end);
+        self.record(busy_us, false, context);
     }
 
-    /// Books a call whose answer is not used. A call that did not say how long
-    /// it was busy counts as busy since it was sent.
-    pub(super) fn book_wasted(
+    /// Records a call whose response is not used. A call without a reported
+    /// busy time counts as busy since it was sent.
+    pub(super) fn record_wasted(
         &mut self,
         attempt: &Attempt,
         busy_us: Option<u64>,
         end: CallEnd,
-        turn: &mut Turn<'_>,
+        context: &mut EventContext<'_>,
     ) {
-        turn.fleet.on_call_ended(turn.now_ms, &attempt.backend, end);
-        let busy_us = busy_us.unwrap_or_else(|| elapsed_us(attempt.sent_at_ms, turn.now_ms));
-        self.book(busy_us, true, turn);
+        context
+            .fleet
+            .on_call_ended(context.now_ms, &attempt.backend, end);
+        let busy_us = busy_us.unwrap_or_else(|| elapsed_us(attempt.sent_at_ms, context.now_ms));
+        self.record(busy_us, true, context);
     }
 
-    pub(super) fn book(&mut self, busy_us: u64, is_wasted: bool, turn: &Turn<'_>) {
-        let price = turn
+    pub(super) fn record(&mut self, busy_us: u64, is_wasted: bool, context: &EventContext<'_>) {
+        let price = context
             .fleet
             .pool(&self.stage().pool)
             .map_or(0, |known| known.pool.price_micros_per_s);
@@ -71,11 +82,11 @@
         }
     }
 
-    /// Returns the account of the current stage.
+    /// Returns the usage of the current stage.
     ///
     /// # Panics
     ///
-    /// Panics when no stage has begun, which no caller allows.
+    /// Panics if no stage has begun; callers make sure that one has.
     pub(super) fn usage_mut(&mut self) -> &mut StageUsage {
         self.usage.last_mut().expect("a stage has begun")
     }
--- a/crates/core/src/execution/attempt.rs
+++ b/crates/core/src/execution/attempt.rs
@@ -1,6 +1,6 @@
-//! The attempts at a stage: taking the request, choosing servers, sending calls.
+//! Attempts at a stage: admitting the request, choosing servers, sending calls.
 
-use super::{Action, Execution, State, Turn};
+use super::{Action, EventContext, Execution, State};
 use crate::{
     call::{CallId, StageCall},
     cost::StageUsage,
@@ -12,74 +12,75 @@
 
 const US_PER_MS: u64 = 1_000;
 
-/// A call that may still answer.
+/// A call that may still receive a response.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) number: u64,
     pub(crate) backend: BackendName,
     pub(crate) sent_at_ms: u64,
-    /// Index of the token that this call was to give first.
+    /// Index of the first token requested from this call.
     pub(crate) first_index: u32,
-    /// Index of the token that this call gives next.
+    /// Index of the next token expected from this call.
     pub(crate) next_index: u32,
     pub(crate) is_silent: bool,
-    /// Time of its last sign of life, or of its sending, in ms.
+    /// Time of its last token, or of its sending, in ms.
     pub(crate) progress_at_ms: u64,
-    /// Whether a token of it has come.
-    pub(crate) has_begun: bool,
+    /// Whether a token has been received.
+    pub(crate) has_token: bool,
     pub(crate) is_overdue: bool,
 }
 
 impl Execution {
-    pub(super) fn start(&mut self, turn: &mut Turn<'_>) {
+    pub(super) fn start(&mut self, context: &mut EventContext<'_>) {
         self.state = State::Running;
-        if turn.now_ms >= self.spec.deadline_at_ms {
-            return self.give_up(DecisionReason::DeadlinePassed, turn);
+        if context.now_ms >= self.spec.deadline_at_ms {
+            return self.give_up(DecisionReason::DeadlinePassed, context);
         }
-        let admitted = self.admit(turn);
+        let admitted = self.admit(context);
         if let Admitted::No {
             reason,
             retry_after_ms,
         } = admitted
         {
-            return self.refuse(reason, retry_after_ms, turn);
+            return self.refuse(reason, retry_after_ms, context);
         }
-        self.begin_stage(turn);
+        self.begin_stage(context);
     }
 
-    pub(super) fn admit(&self, turn: &mut Turn<'_>) -> Admitted {
-        let time_left_ms = self.spec.deadline_at_ms.saturating_sub(turn.now_ms);
+    pub(super) fn admit(&self, context: &mut EventContext<'_>) -> Admitted {
+        let time_left_ms = self.spec.deadline_at_ms.saturating_sub(context.now_ms);
         let query = AdmitQuery {
             workspace: &self.spec.workspace,
             pipeline: &self.spec.pipeline,
             objective: self.spec.objective,
             time_left_us: time_left_ms * US_PER_MS,
         };
-        let admitted = turn.fleet.admit(turn.now_ms, &query);
+        let admitted = context.fleet.admit(context.now_ms, &query);
         let reason = match admitted {
             Admitted::Yes => DecisionReason::Fits,
             Admitted::No { reason, .. } => reason,
         };
-        turn.act(self.log(DecisionKind::Admission, reason));
+        context.push_action(self.log(DecisionKind::Admission, reason));
         admitted
     }
 
-    pub(super) fn begin_stage(&mut self, turn: &mut Turn<'_>) {
-        self.stage_started_ms = turn.now_ms;
+    pub(super) fn begin_stage(&mut self, context: &mut EventContext<'_>) {
+        self.stage_started_ms = context.now_ms;
         self.stage_attempts = 0;
         self.refusals = 0;
         self.tried.clear();
         self.stream.clear();
         self.usage.push(StageUsage::new(self.stage().name.clone()));
-        turn.fleet.retry_budget.on_first_attempt();
-        self.send(DecisionKind::Route, turn);
+        context.fleet.retry_budget.on_first_attempt();
+        self.send(DecisionKind::Route, context);
     }
 
-    /// Tells whether a backend server that has not been tried would take it.
-    pub(super) fn can_go_elsewhere(&self, turn: &Turn<'_>) -> bool {
+    /// Returns whether an untried backend server can take the call.
+    pub(super) fn has_untried_backend(&self, context: &EventContext<'_>) -> bool {
         let stage = self.stage();
-        turn.fleet
-            .has_untried(turn.now_ms, &self.route_query(stage))
+        context
+            .fleet
+            .has_untried(context.now_ms, &self.route_query(stage))
     }
 
     pub(super) fn route_query<'a>(&'a self, stage: &'a Stage) -> RouteQuery<'a> {
@@ -93,48 +94,55 @@
         }
     }
 
-    /// Chooses a backend server and sends the stage's call there.
-    pub(super) fn send(&mut self, kind: DecisionKind, turn: &mut Turn<'_>) {
+    /// Chooses a backend server and sends the call of the stage to it.
+    pub(super) fn send(&mut self, kind: DecisionKind, context: &mut EventContext<'_>) {
         let stage = self.stage();
-        let routed = turn.fleet.route(turn.now_ms, &self.route_query(stage));
-        let stage_kind = turn.fleet.pool(&stage.pool).map(|known| known.pool.kind);
+        let routed = context
+            .fleet
+            .route(context.now_ms, &self.route_query(stage));
+        let stage_kind = context.fleet.pool(&stage.pool).map(|known| known.pool.kind);
         let choice = routed.choice.clone();
         let reason = routed.reason;
-        turn.act(self.decision(kind, routed));
+        context.push_action(self.decision(kind, routed));
         match (choice, stage_kind) {
-            (Some(backend), Some(stage_kind)) => self.send_to(backend, stage_kind, turn),
-            (None, _) | (_, None) if self.live.is_empty() => self.give_up(reason, turn),
+            (Some(backend), Some(stage_kind)) => self.send_to(backend, stage_kind, context),
+            (None, _) | (_, None) if self.live.is_empty() => self.give_up(reason, context),
             (None, _) | (_, None) => {}
         }
     }
 
-    pub(super) fn send_to(&mut self, backend: BackendName, kind: StageKind, turn: &mut Turn<'_>) {
+    pub(super) fn send_to(
+        &mut self,
+        backend: BackendName,
+        kind: StageKind,
+        context: &mut EventContext<'_>,
+    ) {
         let number = self.next_attempt;
         self.next_attempt += 1;
         self.stage_attempts += 1;
-        self.handed_over += 1;
+        self.calls_sent += 1;
         if !self.stage().idempotent {
-            self.maybe_effective += 1;
+            self.possible_effects += 1;
         }
-        turn.fleet.on_call_sent(turn.now_ms, &backend);
+        context.fleet.on_call_sent(context.now_ms, &backend);
         self.live.push(Attempt {
             number,
             backend: backend.clone(),
-            sent_at_ms: turn.now_ms,
+            sent_at_ms: context.now_ms,
             first_index: self.stream.len(),
             next_index: self.stream.len(),
             is_silent: false,
-            progress_at_ms: turn.now_ms,
-            has_begun: false,
+            progress_at_ms: context.now_ms,
+            has_token: false,
             is_overdue: false,
         });
         if !self.tried.contains(&backend) {
             self.tried.push(backend.clone());
         }
-        turn.act(Action::Send {
+        context.push_action(Action::Send {
             backend,
-            call: Box::new(self.call(number, kind, turn.now_ms)),
-            not_after_ms: self.latest_ms(self.stage_index, turn),
+            call: Box::new(self.call(number, kind, context.now_ms)),
+            not_after_ms: self.latest_start_ms(self.stage_index, context),
         });
     }
 
@@ -173,7 +181,7 @@
         }))
     }
 
-    pub(super) fn take_live(&mut self, number: u64) -> Option<Attempt> {
+    pub(super) fn remove_live(&mut self, number: u64) -> Option<Attempt> {
         let index = self.live.iter().position(|live| live.number == number)?;
         Some(self.live.remove(index))
     }
--- a/crates/core/src/execution/finish.rs
+++ b/crates/core/src/execution/finish.rs
@@ -1,8 +1,8 @@
-//! The end of a request: which outcome is true, and when to come back.
+//! Ends a request: determines its outcome and when to retry.
 
 use serde_json::Value;
 
-use super::{Action, Completion, Execution, Reason, State, Turn};
+use super::{Action, Completion, EventContext, Execution, Reason, State};
 use crate::{
     decision::{Decision, DecisionKind, DecisionReason},
     outcome::Outcome,
@@ -10,66 +10,69 @@
 };
 
 impl Execution {
-    /// Gives up a request whose time has run out, and keeps the timer set.
-    pub(super) fn check_time(&mut self, turn: &mut Turn<'_>) {
-        if turn.now_ms >= self.spec.deadline_at_ms {
-            return self.give_up(DecisionReason::DeadlinePassed, turn);
+    /// Gives up a request that cannot meet its deadline any more, and keeps the
+    /// timer up to date.
+    pub(super) fn check_deadline(&mut self, context: &mut EventContext<'_>) {
+        if context.now_ms >= self.spec.deadline_at_ms {
+            return self.give_up(DecisionReason::DeadlinePassed, context);
         }
-        let hopeless_at_ms = self.latest_ms(self.stage_index + 1, turn);
-        if turn.now_ms >= hopeless_at_ms {
-            return self.give_up(DecisionReason::CannotFinish, turn);
+        let give_up_at_ms = self.latest_start_ms(self.stage_index + 1, context);
+        if context.now_ms >= give_up_at_ms {
+            return self.give_up(DecisionReason::CannotFinish, context);
         }
-        self.check_overdue(turn);
+        self.check_overdue(context);
         if self.state != State::Running {
             return;
         }
         let at_ms = self
-            .next_due_ms(turn)
-            .map_or(hopeless_at_ms, |due_ms| due_ms.min(hopeless_at_ms));
-        // A timer that comes too early only looks again.
+            .next_due_ms(context)
+            .map_or(give_up_at_ms, |due_ms| due_ms.min(give_up_at_ms));
+        // A timer that fires too early only causes another check.
         if self.timer_at_ms.is_none_or(|set_ms| at_ms < set_ms) {
             self.timer_at_ms = Some(at_ms);
-            turn.act(Action::SetTimer { at_ms });
+            context.push_action(Action::SetTimer { at_ms });
         }
     }
 
-    /// Returns the latest time at which a stage can begin and the request still
-    /// be answered; the deadline for the stage after the last.
-    pub(super) fn latest_ms(&self, stage_index: usize, turn: &Turn<'_>) -> u64 {
-        let later = match turn.fleet.settings.budgets {
+    /// Returns the latest time at which a stage can begin for the request to
+    /// meet its deadline; the deadline itself for the index after the last
+    /// stage.
+    pub(super) fn latest_start_ms(&self, stage_index: usize, context: &EventContext<'_>) -> u64 {
+        let remaining_stages = match context.fleet.settings.budgets {
             Budgets::WholeOnly => &[],
             Budgets::ByStage => &self.spec.pipeline.stages[stage_index..],
         };
-        let needed_ms = turn.fleet.fastest_ms(later);
+        let needed_ms = context.fleet.fastest_ms(remaining_stages);
         self.spec.deadline_at_ms.saturating_sub(needed_ms)
     }
 
-    /// The caller has gone. What may take effect runs on, so that a repeat
-    /// under the same key gets its answer.
-    pub(super) fn on_caller_gone(&mut self, turn: &mut Turn<'_>) {
+    /// Handles the disconnect of the caller. A request that may have taken
+    /// effect continues, so that a repeat under the same key gets its response.
+    pub(super) fn on_caller_gone(&mut self, context: &mut EventContext<'_>) {
         if self.state == State::New {
             self.state = State::Running;
         }
         if !self.may_have_taken_effect() {
-            self.give_up(DecisionReason::CallerGone, turn);
+            self.give_up(DecisionReason::CallerGone, context);
         }
     }
 
-    /// Ends a request that is quarantined, before or after something of it was sent. It has
-    /// run under other identifiers, so that it is never told as not run.
-    pub(super) fn on_quarantined(&mut self, retry_after_ms: u64, turn: &mut Turn<'_>) {
+    /// Ends a quarantined request, before or after part of it was sent. The
+    /// request has run under other identifiers, so its outcome is never
+    /// `not_run`.
+    pub(super) fn on_quarantined(&mut self, retry_after_ms: u64, context: &mut EventContext<'_>) {
         self.spec.earlier_may_have_run = true;
-        turn.act(self.log(DecisionKind::GiveUp, DecisionReason::EndsServers));
-        self.abandon_live(turn);
-        self.refuse(DecisionReason::EndsServers, retry_after_ms, turn);
+        context.push_action(self.log(DecisionKind::GiveUp, DecisionReason::EndsServers));
+        self.abandon_live(context);
+        self.refuse(DecisionReason::EndsServers, retry_after_ms, context);
     }
 
-    pub(super) fn give_up(&mut self, reason: DecisionReason, turn: &mut Turn<'_>) {
-        turn.act(self.log(DecisionKind::GiveUp, reason));
-        self.fail(Reason::GivenUp(reason), turn);
+    pub(super) fn give_up(&mut self, reason: DecisionReason, context: &mut EventContext<'_>) {
+        context.push_action(self.log(DecisionKind::GiveUp, reason));
+        self.fail(Reason::GivenUp(reason), context);
     }
 
-    /// Logs a decision that chooses no backend server.
+    /// Creates a log action for a decision that chooses no backend server.
     pub(super) fn log(&self, kind: DecisionKind, reason: DecisionReason) -> Action {
         Action::Log(Box::new(Decision {
             kind,
@@ -82,12 +85,12 @@
         }))
     }
 
-    /// Refuses the request before anything of it was sent.
+    /// Ends the request with a given reason and retry time.
     pub(super) fn refuse(
         &mut self,
         reason: DecisionReason,
         retry_after_ms: u64,
-        turn: &mut Turn<'_>,
+        context: &mut EventContext<'_>,
     ) {
         let completion = Completion {
             outcome: self.failed_outcome(),
@@ -96,22 +99,24 @@
             retry_after_ms: Some(retry_after_ms),
             stages: Vec::new(),
         };
-        self.finish(completion, turn);
+        self.finish(completion, context);
     }
 
-    /// Ends the request without an answer, now.
-    pub(super) fn fail(&mut self, reason: Reason, turn: &mut Turn<'_>) {
+    /// Ends the request without a response.
+    pub(super) fn fail(&mut self, reason: Reason, context: &mut EventContext<'_>) {
         let outcome = self.failed_outcome();
         let wait_us = match reason {
-            Reason::Refused { .. } => turn.fleet.pool_wait_us(turn.now_ms, &self.stage().pool),
+            Reason::Refused { .. } => context
+                .fleet
+                .pool_wait_us(context.now_ms, &self.stage().pool),
             _ => 0,
         };
         let retry_after_ms = outcome
             .is_safe_to_repeat()
-            .then(|| turn.fleet.retry_after_ms(turn.now_ms, wait_us));
-        self.abandon_live(turn);
+            .then(|| context.fleet.retry_after_ms(context.now_ms, wait_us));
+        self.abandon_live(context);
         if !self.usage.is_empty() {
-            self.usage_mut().elapsed_us = self.stage_elapsed_us(turn.now_ms);
+            self.usage_mut().elapsed_us = self.stage_elapsed_us(context.now_ms);
         }
         let completion = Completion {
             outcome,
@@ -120,10 +125,10 @@
             retry_after_ms,
             stages: Vec::new(),
         };
-        self.finish(completion, turn);
+        self.finish(completion, context);
     }
 
-    pub(super) fn complete(&mut self, output: Value, turn: &mut Turn<'_>) {
+    pub(super) fn complete(&mut self, output: Value, context: &mut EventContext<'_>) {
         let completion = Completion {
             outcome: Outcome::Complete,
             reason: None,
@@ -131,14 +136,14 @@
             retry_after_ms: None,
             stages: Vec::new(),
         };
-        self.finish(completion, turn);
+        self.finish(completion, context);
     }
 
-    fn finish(&mut self, mut completion: Completion, turn: &mut Turn<'_>) {
+    fn finish(&mut self, mut completion: Completion, context: &mut EventContext<'_>) {
         self.state = State::Finished;
         let is_wasted = completion.outcome != Outcome::Complete;
         for usage in &self.usage {
-            turn.fleet.costs.book(
+            context.fleet.costs.book(
                 &self.spec.workspace,
                 &self.spec.pipeline.name,
                 usage,
@@ -146,14 +151,14 @@
             );
         }
         completion.stages = std::mem::take(&mut self.usage);
-        turn.act(Action::Finish(Box::new(completion)));
+        context.push_action(Action::Finish(Box::new(completion)));
     }
 
-    /// Says what is true of a request that ends without an answer.
+    /// Returns the outcome of a request that ends without a response.
     fn failed_outcome(&self) -> Outcome {
-        if self.maybe_effective > 0 {
+        if self.possible_effects > 0 {
             Outcome::Unknown
-        } else if self.handed_over > 0 {
+        } else if self.calls_sent > 0 {
             Outcome::Failed
         } else if self.spec.earlier_may_have_run {
             Outcome::NotStarted
--- a/crates/core/src/execution/overdue.rs
+++ b/crates/core/src/execution/overdue.rs
@@ -1,6 +1,6 @@
-//! Calls that make no progress for longer than usual.
+//! Detects and hedges calls that make no progress for longer than usual.
 
-use super::{Action, Execution, Turn, attempt::Attempt, repeat::Charge};
+use super::{Action, EventContext, Execution, attempt::Attempt, retry::Charge};
 use crate::{
     decision::DecisionKind,
     fleet::{CallEnd, Fault, Progress},
@@ -9,74 +9,75 @@
 };
 
 impl Execution {
-    /// Marks the calls that have become overdue, and has each repeated
-    /// elsewhere if that is allowed.
-    pub(super) fn check_overdue(&mut self, turn: &mut Turn<'_>) {
-        let due: Vec<u64> = self
+    /// Marks the calls that have become overdue, and repeats each on another
+    /// backend server if allowed.
+    pub(super) fn check_overdue(&mut self, context: &mut EventContext<'_>) {
+        let due_attempts: Vec<u64> = self
             .live
             .iter()
             .filter(|live| {
-                self.due_at_ms(live, turn)
-                    .is_some_and(|at| at <= turn.now_ms)
+                self.due_at_ms(live, context)
+                    .is_some_and(|at| at <= context.now_ms)
             })
             .map(|live| live.number)
             .collect();
-        for number in due {
-            self.on_overdue(number, turn);
+        for number in due_attempts {
+            self.on_overdue(number, context);
         }
     }
 
     /// Returns the earliest time at which a call becomes overdue.
-    pub(super) fn next_due_ms(&self, turn: &Turn<'_>) -> Option<u64> {
+    pub(super) fn next_due_ms(&self, context: &EventContext<'_>) -> Option<u64> {
         self.live
             .iter()
-            .filter_map(|live| self.due_at_ms(live, turn))
+            .filter_map(|live| self.due_at_ms(live, context))
             .min()
     }
 
-    fn due_at_ms(&self, attempt: &Attempt, turn: &Turn<'_>) -> Option<u64> {
+    fn due_at_ms(&self, attempt: &Attempt, context: &EventContext<'_>) -> Option<u64> {
         if attempt.is_overdue {
             return None;
         }
-        let timeout_ms = turn
+        let timeout_ms = context
             .fleet
             .timeout_ms(&self.stage().pool, attempt.progress())?;
         Some(attempt.progress_at_ms + timeout_ms)
     }
 
-    fn on_overdue(&mut self, number: u64, turn: &mut Turn<'_>) {
-        let is_stage_unwell = turn.fleet.is_stage_unwell(&self.stage().pool);
+    fn on_overdue(&mut self, number: u64, context: &mut EventContext<'_>) {
+        let is_pool_degraded = context.fleet.is_pool_degraded(&self.stage().pool);
         let Some(attempt) = self.live.iter_mut().find(|live| live.number == number) else {
             return;
         };
         attempt.is_overdue = true;
-        if is_stage_unwell {
+        if is_pool_degraded {
             return;
         }
-        turn.fleet
-            .on_bad_answer(turn.now_ms, &attempt.backend, Fault::Failing);
-        let is_alone = self.live.iter().all(|live| live.is_overdue);
-        let may_hedge = turn.fleet.settings.hedging == Hedging::Overdue
+        context
+            .fleet
+            .on_bad_answer(context.now_ms, &attempt.backend, Fault::Failing);
+        let all_overdue = self.live.iter().all(|live| live.is_overdue);
+        let may_hedge = context.fleet.settings.hedging == Hedging::Overdue
             && self.stage().idempotent
-            && is_alone
-            && self.can_go_elsewhere(turn)
-            && self.may_repeat(Charge::Retry, turn).is_ok();
+            && all_overdue
+            && self.has_untried_backend(context)
+            && self.may_repeat(Charge::Retry, context).is_ok();
         if !may_hedge {
             return;
         }
         if self.spec.objective == Objective::Cost {
-            self.withdraw(number, turn);
+            self.cancel_attempt(number, context);
         }
-        self.send(DecisionKind::Hedge, turn);
+        self.send(DecisionKind::Hedge, context);
     }
 
-    /// Gives up one call so that its work is not paid for twice.
-    fn withdraw(&mut self, number: u64, turn: &mut Turn<'_>) {
-        let Some(attempt) = self.take_live(number) else {
+    /// Cancels one call so that its work is not paid for twice.
+    fn cancel_attempt(&mut self, number: u64, context: &mut EventContext<'_>) {
+        let Some(attempt) = self.remove_live(number) else {
             return;
         };
-        self.book_wasted(&attempt, None, CallEnd::Abandoned, turn);
-        turn.act(Action::Cancel {
+        self.record_wasted(&attempt, None, CallEnd::Abandoned, context);
+        context.push_action(Action::Cancel {
             call: self.call_id(number),
             backend: attempt.backend,
         });
@@ -85,7 +86,7 @@
 
 impl Attempt {
     pub(super) fn progress(&self) -> Progress {
-        if self.has_begun {
+        if self.has_token {
             Progress::Streaming
         } else {
             Progress::Waiting
--- a/crates/core/src/execution/reason.rs
+++ b/crates/core/src/execution/reason.rs
@@ -1,36 +1,36 @@
-//! Why a request was not answered completely.
+//! Reasons for requests that end without a complete response.
 
 use std::fmt;
 
 use crate::{call::RefusalReason, decision::DecisionReason, ids::StageName};
 
-/// Why a request was not answered completely.
+/// The reason why a request ended without a complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// The policy gave it up.
+    /// The policy gave up the request.
     GivenUp(DecisionReason),
     /// The last backend server refused the call.
     Refused {
-        /// Stage that it was.
+        /// Stage of the call.
         stage: StageName,
-        /// Why it was refused.
+        /// Reason for the refusal.
         reason: RefusalReason,
     },
     /// The connection broke after the call had been handed to it.
     Lost {
-        /// Stage that it was.
+        /// Stage of the call.
         stage: StageName,
     },
     /// The stage failed.
     Failed {
-        /// Stage that it was.
+        /// Stage of the call.
         stage: StageName,
-        /// What the backend server said.
+        /// Error message of the backend server.
         message: String,
     },
-    /// The answer of the stage was cut off or did not match its call.
+    /// The response was cut off or did not match its call.
     Cut {
-        /// Stage that it was.
+        /// Stage of the call.
         stage: StageName,
     },
 }
--- a/crates/core/src/execution/stream.rs
+++ b/crates/core/src/execution/stream.rs
@@ -1,17 +1,17 @@
-//! The tokens of one stage, put together from the attempts at it.
+//! Merges the tokens of one stage from its attempts.
 
-/// What became of a token.
+/// The result of inserting a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum TokenPlace {
-    /// It is the next one of the stage.
+pub(crate) enum TokenStatus {
+    /// It is the next token of the stage.
     New,
-    /// Another attempt gave the same one before.
-    Known,
-    /// It contradicts one that was given before, or leaves a gap.
-    Broken,
+    /// The same token was received before.
+    Duplicate,
+    /// It contradicts an earlier token or leaves a gap.
+    Invalid,
 }
 
-/// Tokens of a stage, each once and in order.
+/// The tokens of a stage, deduplicated and in order.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TokenStream {
     tokens: Vec<String>,
@@ -26,16 +26,16 @@
         self.tokens.clear();
     }
 
-    /// Places a token by its index.
-    pub(crate) fn place(&mut self, index: u32, text: &str) -> TokenPlace {
+    /// Inserts a token at its index.
+    pub(crate) fn insert(&mut self, index: u32, text: &str) -> TokenStatus {
         match self.tokens.get(index as usize) {
-            Some(known) if known == text => TokenPlace::Known,
-            Some(_) => TokenPlace::Broken,
+            Some(known) if known == text => TokenStatus::Duplicate,
+            Some(_) => TokenStatus::Invalid,
             None if index == self.len() => {
                 self.tokens.push(text.to_owned());
-                TokenPlace::New
+                TokenStatus::New
             }
-            None => TokenPlace::Broken,
+            None => TokenStatus::Invalid,
         }
     }
 }
--- a/crates/core/src/fleet/health.rs
+++ b/crates/core/src/fleet/health.rs
@@ -100,7 +100,7 @@
 
     /// Tells whether so many of a pool's servers are unwell that the stage is
     /// slow and not one of them.
-    pub(crate) fn is_stage_unwell(&self, name: &PoolName) -> bool {
+    pub(crate) fn is_pool_degraded(&self, name: &PoolName) -> bool {
         let Some(pool) = self.pools.get(name) else {
             return false;
         };
