--- a/crates/core/src/execution.rs
+++ b/crates/core/src/execution.rs
@@ -285,7 +285,7 @@
                 reason,
                 retry_after_ms,
             } => self.on_refused(attempt, reason, retry_after_ms, context),
-            Event::Answered(answer) => self.on_response(answer, context),
+            Event::Answered(response) => self.on_response(response, context),
             Event::Lost { attempt } => self.on_lost(attempt, context),
             Event::Silent { attempt } => self.on_silent(attempt, context),
             Event::Severed { attempt } => self.on_severed(attempt, context),
@@ -303,8 +303,8 @@
     }
 
     fn discard_late(&self, event: &Event, actions: &mut Vec<Action>) {
-        if let Event::Answered(answer) = event {
-            actions.push(self.discard(answer.id()));
+        if let Event::Answered(response) = event {
+            actions.push(self.discard(response.id()));
         }
     }
 
--- a/crates/core/src/execution/accounting.rs
+++ b/crates/core/src/execution/accounting.rs
@@ -3,15 +3,14 @@
 use super::{Action, EventContext, Execution, attempt::Attempt};
 use crate::{
     cost::{StageUsage, cost_micros},
-    fleet::{CallEnd, Progress},
+    fleet::{CallEnd, ResponsePhase},
 };
 
 const US_PER_MS: u64 = 1_000;
 
 impl Execution {
     /// Abandons every call that is still running. Non-idempotent calls are not
-    /// cancelled: letting them run makes sure that their effect happens
-    /// completely and once.
+    /// cancelled: their effect happens once and is accounted for as possible.
     pub(super) fn abandon_live(&mut self, context: &mut EventContext<'_>) {
         for attempt in std::mem::take(&mut self.live) {
             self.record_wasted(&attempt, None, CallEnd::Abandoned, context);
@@ -35,7 +34,7 @@
         if !attempt.has_token {
             context
                 .fleet
-                .on_progress(&stage.pool, Progress::Waiting, call_us);
+                .on_progress(&stage.pool, ResponsePhase::Waiting, call_us);
         }
         if let Some(prefix) = self.route_query(stage).prefix {
             context.fleet.on_cache_event(&attempt.backend, prefix, true);
--- a/crates/core/src/execution/attempt.rs
+++ b/crates/core/src/execution/attempt.rs
@@ -24,7 +24,7 @@
     pub(crate) next_index: u32,
     pub(crate) is_silent: bool,
     /// Time of its last token, or of its sending, in ms.
-    pub(crate) progress_at_ms: u64,
+    pub(crate) last_progress_ms: u64,
     /// Whether a token has been received.
     pub(crate) has_token: bool,
     pub(crate) is_overdue: bool,
@@ -132,7 +132,7 @@
             first_index: self.stream.len(),
             next_index: self.stream.len(),
             is_silent: false,
-            progress_at_ms: context.now_ms,
+            last_progress_ms: context.now_ms,
             has_token: false,
             is_overdue: false,
         });
--- a/crates/core/src/execution/overdue.rs
+++ b/crates/core/src/execution/overdue.rs
@@ -3,7 +3,7 @@
 use super::{Action, EventContext, Execution, attempt::Attempt, retry::Charge};
 use crate::{
     decision::DecisionKind,
-    fleet::{CallEnd, Fault, Progress},
+    fleet::{CallEnd, Fault, ResponsePhase},
     objects::Objective,
     settings::Hedging,
 };
@@ -40,8 +40,8 @@
         }
         let timeout_ms = context
             .fleet
-            .timeout_ms(&self.stage().pool, attempt.progress())?;
-        Some(attempt.progress_at_ms + timeout_ms)
+            .timeout_ms(&self.stage().pool, attempt.phase())?;
+        Some(attempt.last_progress_ms + timeout_ms)
     }
 
     fn on_overdue(&mut self, number: u64, context: &mut EventContext<'_>) {
@@ -61,7 +61,7 @@
             && self.stage().idempotent
             && all_overdue
             && self.has_untried_backend(context)
-            && self.may_repeat(Charge::Retry, context).is_ok();
+            && self.authorize_retry(Charge::Retry, context).is_ok();
         if !may_hedge {
             return;
         }
@@ -85,11 +85,11 @@
 }
 
 impl Attempt {
-    pub(super) fn progress(&self) -> Progress {
+    pub(super) fn phase(&self) -> ResponsePhase {
         if self.has_token {
-            Progress::Streaming
+            ResponsePhase::Streaming
         } else {
-            Progress::Waiting
+            ResponsePhase::Waiting
         }
     }
 }
--- a/crates/core/src/execution/response.rs
+++ b/crates/core/src/execution/response.rs
@@ -13,8 +13,8 @@
 };
 
 impl Execution {
-    pub(super) fn on_response(&mut self, answer: StageEvent, context: &mut EventContext<'_>) {
-        let id = answer.id();
+    pub(super) fn on_response(&mut self, response: StageEvent, context: &mut EventContext<'_>) {
+        let id = response.id();
         let is_expected = id.request == self.spec.request
             && id.stage == self.stage().name
             && self.live.iter().any(|live| live.number == id.attempt);
@@ -22,7 +22,7 @@
             context.push_action(self.discard(id));
             return;
         }
-        match answer {
+        match response {
             StageEvent::Token { id, index, text } => self.on_token(id, index, text, context),
             StageEvent::Done {
                 id,
@@ -49,12 +49,12 @@
             return;
         };
         live.is_silent = false;
-        let elapsed_us = elapsed_us(live.progress_at_ms, context.now_ms);
-        let progress = live.progress();
-        live.progress_at_ms = context.now_ms;
+        let elapsed_us = elapsed_us(live.last_progress_ms, context.now_ms);
+        let phase = live.phase();
+        live.last_progress_ms = context.now_ms;
         live.has_token = true;
         let pool = &self.spec.pipeline.stages[self.stage_index].pool;
-        context.fleet.on_progress(pool, progress, elapsed_us);
+        context.fleet.on_progress(pool, phase, elapsed_us);
         if index < live.next_index {
             // Duplicate of a token that this call already sent.
             if self.stream.insert(index, &text) == TokenStatus::Invalid {
--- a/crates/core/src/execution/retry.rs
+++ b/crates/core/src/execution/retry.rs
@@ -7,8 +7,8 @@
     fleet::{CallEnd, Fault},
 };
 
-/// Maximum resumes of a stage that do not count as attempts: each has to yield
-/// at least this fraction of the maximum tokens.
+/// Maximum resumes of a stage that do not count as attempts: each resumed call
+/// must have yielded at least `max_tokens` divided by this number.
 const MAX_FREE_RESUMES: u32 = 8;
 
 /// Whether a retry counts against the retry budget.
@@ -150,7 +150,7 @@
             return;
         }
         let all_silent = self.live.iter().all(|live| live.is_silent);
-        if all_silent && self.may_repeat(Charge::Retry, context).is_ok() {
+        if all_silent && self.authorize_retry(Charge::Retry, context).is_ok() {
             self.send(DecisionKind::Retry, context);
         }
     }
@@ -165,7 +165,7 @@
         };
         attempt.is_silent = true;
         let all_silent = self.live.iter().all(|live| live.is_silent);
-        if is_idempotent && all_silent && self.may_repeat(Charge::Free, context).is_ok() {
+        if is_idempotent && all_silent && self.authorize_retry(Charge::Free, context).is_ok() {
             self.send(DecisionKind::Retry, context);
         }
     }
@@ -180,7 +180,7 @@
         if !self.live.is_empty() {
             return;
         }
-        match self.may_repeat(charge, context) {
+        match self.authorize_retry(charge, context) {
             Ok(()) => self.send(DecisionKind::Retry, context),
             Err(denial) => {
                 context.push_action(self.log(DecisionKind::GiveUp, denial));
@@ -189,7 +189,7 @@
         }
     }
 
-    pub(super) fn may_repeat(
+    pub(super) fn authorize_retry(
         &self,
         charge: Charge,
         context: &mut EventContext<'_>,
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -1,4 +1,5 @@
-//! What one instance knows of the backend servers, and how it chooses one.
+//! The view that one instance has of the backend servers, and its choice among
+//! them.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -17,11 +18,10 @@
 };
 
 mod admission;
+mod engine_reports;
 mod health;
 mod in_flight;
 mod known;
-mod observed;
-mod pace;
 mod prefixes;
 mod reach;
 mod refusals;
@@ -29,38 +29,39 @@
 mod route;
 mod score;
 mod shares;
+mod timeouts;
 
 use admission::Overload;
 pub(crate) use admission::{AdmitQuery, Admitted};
 pub(crate) use health::Fault;
 pub use known::{BackendState, BackendStatus};
 pub(crate) use known::{KnownBackend, KnownPool, Report};
-pub(crate) use pace::Progress;
 use prefixes::Prefixes;
 use reach::ZoneReach;
 pub(crate) use retry_budget::RetryBudget;
 pub(crate) use route::{RouteQuery, Routed};
 use shares::Shares;
+pub(crate) use timeouts::ResponsePhase;
 
-/// How a call ended, as routing learns from it.
+/// The end of a call, as feedback for routing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallEnd {
-    /// It answered after `elapsed_us`, of which it worked for `busy_us`.
+    /// It completed after `elapsed_us`, of which it was busy for `busy_us`.
     Done {
         elapsed_us: u64,
         busy_us: u64,
-        /// Whether it came later than usual.
+        /// Whether it took longer than usual.
         was_overdue: bool,
     },
     /// It was refused.
     Refused(RefusalReason),
-    /// It failed, or its connection did.
+    /// The call or its connection failed.
     Failed(Fault),
-    /// It was given up before it ended.
+    /// It was abandoned before it ended.
     Abandoned,
 }
 
-/// Everything that one instance knows of the backend servers.
+/// The state that one instance has of the backend servers.
 #[derive(Debug)]
 pub struct Fleet {
     instance: InstanceName,
@@ -70,11 +71,11 @@
     pub(crate) backends: Vec<KnownBackend>,
     by_name: HashMap<BackendName, usize>,
     pools: BTreeMap<PoolName, KnownPool>,
-    /// Time beside work of the calls to each availability zone.
-    ways: BTreeMap<ZoneName, Quantiles>,
-    /// Availability zones to which connections failed.
+    /// Time outside of work, by availability zone of the backend server.
+    network_times: BTreeMap<ZoneName, Quantiles>,
+    /// Availability zones with recent connection failures.
     reach: BTreeMap<ZoneName, ZoneReach>,
-    /// Other instances that use the same backend servers.
+    /// Number of other instances that use the same backend servers.
     peers: u32,
     prefixes: Prefixes,
     overload: Overload,
@@ -87,8 +88,8 @@
 }
 
 impl Fleet {
-    /// Creates the view of `instance`, which stands in `zone`; `seed` drives
-    /// its random choices.
+    /// Creates the view of `instance` in `zone`; `seed` drives its random
+    /// choices.
     pub fn new(
         instance: InstanceName,
         zone: ZoneName,
@@ -107,7 +108,7 @@
             backends: Vec::new(),
             by_name: HashMap::new(),
             pools: BTreeMap::new(),
-            ways: BTreeMap::new(),
+            network_times: BTreeMap::new(),
             reach: BTreeMap::new(),
             peers: 0,
             prefixes: Prefixes::default(),
@@ -117,8 +118,8 @@
         }
     }
 
-    /// Takes over the configured pools and backend servers. What was observed
-    /// of those that stay is kept; those that are gone get nothing new.
+    /// Applies the configured pools and backend servers. Observations of the
+    /// remaining ones are retained; removed ones get no new calls.
     pub fn configure<'a>(
         &mut self,
         pools: impl IntoIterator<Item = &'a Pool>,
@@ -157,8 +158,8 @@
         self.assign_subsets();
     }
 
-    /// Gives each pool the part of its backend servers that this instance
-    /// uses: the first of each availability zone by rendezvous hash.
+    /// Selects the backend servers that this instance uses of each pool: the
+    /// first of each availability zone by rendezvous hash.
     fn assign_subsets(&mut self) {
         let seed = xxh3_64_with_seed(self.instance.as_str().as_bytes(), 0);
         for known in self.pools.values_mut() {
@@ -180,27 +181,27 @@
         }
     }
 
-    /// Returns the servers that are cold, and which of them this instance may send to.
+    /// Returns the cold servers, and which of them this instance may send to.
     pub fn cold(&mut self) -> &mut ColdServers {
         &mut self.cold
     }
 
-    /// Returns the limits that servers name.
+    /// Returns the rate limits that servers declare.
     pub fn limits(&mut self) -> &mut ServerLimits {
         &mut self.limits
     }
 
-    /// Returns the backoffs that servers have asked this instance for.
+    /// Returns the backoffs that servers have requested from this instance.
     pub fn backoffs(&mut self) -> &mut ServerBackoffs {
         &mut self.backoffs
     }
 
-    /// Notes how many other instances use the same backend servers.
+    /// Sets how many other instances use the same backend servers.
     pub fn set_peers(&mut self, peers: u32) {
         self.peers = peers;
     }
 
-    /// Takes in a load report, which may be old.
+    /// Applies a load report, which may be stale.
     pub fn on_load_report(&mut self, now_ms: u64, report: &LoadReport) {
         let Some(backend) = self.known_mut(&report.server) else {
             return;
@@ -213,7 +214,7 @@
         {
             return;
         }
-        backend.heard = true;
+        backend.is_confirmed = true;
         backend.leaving = report.state == ServingState::Leaving;
         backend.slots = report.slots.max(1);
         backend.models = Some(report.models.clone());
@@ -224,43 +225,44 @@
         });
     }
 
-    /// Takes over which backend servers the platform's list calls leaving; they
-    /// get nothing new for as long as it does. What one says of itself does not
-    /// undo this: it may not have been told yet.
+    /// Sets the backend servers that the platform's list marks as leaving; they
+    /// get no new calls while it does. A load report of such a server does not
+    /// undo this: the server may not know yet that it is leaving.
     pub fn on_listed_leaving(&mut self, leaving: &HashSet<BackendName>) {
         for backend in &mut self.backends {
             backend.listed_leaving = leaving.contains(&backend.name);
         }
     }
 
-    /// Notes that some source (a peer, its own answer) calls a
-    /// backend server leaving; it gets nothing new from now on. A later load
-    /// report of its own that says otherwise takes it back.
+    /// Marks a backend server as leaving, as reported by a peer or by its own
+    /// response; it gets no new calls. A later load report of the server can
+    /// revoke this.
     pub fn on_leaving(&mut self, backend: &BackendName) {
         if let Some(known) = self.known_mut(backend) {
             known.leaving = true;
         }
     }
 
-    /// Lists the backend servers, ordered by name.
+    /// Returns the status of each backend server, ordered by name.
     pub fn statuses(&self, now_ms: u64) -> impl Iterator<Item = BackendStatus> {
         self.backends
             .iter()
             .map(move |backend| backend.status(now_ms, self.backoffs.until_ms(&backend.name)))
     }
 
-    /// Names the backend servers that this instance uses, pool by pool.
+    /// Returns the names of the backend servers that this instance uses, pool
+    /// by pool.
     pub fn members(&self) -> impl Iterator<Item = &BackendName> {
         let members = self.pools.values().flat_map(|known| &known.members);
         members.map(|index| &self.backends[*index].name)
     }
 
-    /// Returns what this instance's requests have cost.
+    /// Returns the costs of the requests of this instance.
     pub fn costs(&self) -> &CostLedger {
         &self.costs
     }
 
-    /// Tells whether a backend server gets new work.
+    /// Returns whether a backend server gets new calls.
     pub fn takes_new_work(&self, now_ms: u64, backend: &BackendName) -> bool {
         self.known(backend).is_some_and(|known| {
             matches!(
@@ -274,13 +276,13 @@
         self.pools.get(name)
     }
 
-    /// Tells whether a backend server is known to be leaving.
+    /// Returns whether a backend server is known to be leaving.
     pub fn is_leaving(&self, name: &BackendName) -> bool {
         let known = self.known(name);
         known.is_some_and(|backend| backend.leaving || backend.listed_leaving)
     }
 
-    /// Returns the calls of this instance that a backend server has.
+    /// Returns the number of open calls of this instance at a backend server.
     pub fn in_flight(&self, name: &BackendName) -> u32 {
         self.known(name).map_or(0, |backend| backend.in_flight)
     }
@@ -305,10 +307,10 @@
 
     pub(crate) fn on_call_ended(&mut self, now_ms: u64, name: &BackendName, end: CallEnd) {
         match end {
-            CallEnd::Failed(Fault::Unreachable) => self.on_unreached(now_ms, name),
+            CallEnd::Failed(Fault::Unreachable) => self.on_connect_failed(now_ms, name),
             CallEnd::Failed(Fault::Silent) | CallEnd::Abandoned => {}
             CallEnd::Done { .. } | CallEnd::Refused(_) | CallEnd::Failed(Fault::Failing) => {
-                self.on_reached(name);
+                self.on_response(name);
             }
         }
         let Some(backend) = self.known_mut(name) else {
@@ -327,16 +329,19 @@
                 busy_us,
                 was_overdue,
             } => {
-                backend.heard = true;
+                backend.is_confirmed = true;
                 backend.refusals.on_success();
                 if !was_overdue {
                     backend.health.on_success();
                 }
                 let zone = backend.zone.clone();
-                let way_us = elapsed_us.saturating_sub(busy_us);
-                self.ways.entry(zone).or_default().record(way_us);
+                let network_us = elapsed_us.saturating_sub(busy_us);
+                self.network_times
+                    .entry(zone)
+                    .or_default()
+                    .record(network_us);
                 if let Some(known) = self.pools.get_mut(&pool) {
-                    known.busy.record(busy_us);
+                    known.busy_times.record(busy_us);
                 }
             }
             CallEnd::Failed(fault) => self.on_bad_answer(now_ms, name, fault),
--- a/crates/core/src/fleet/admission.rs
+++ b/crates/core/src/fleet/admission.rs
@@ -1,8 +1,8 @@
-//! Tells whether a request can be answered in time, before it begins.
+//! Decides before a request begins whether it can meet its deadline.
 
 use rand::RngExt;
 
-use super::{Fleet, KnownPool, shares::wait_part};
+use super::{Fleet, KnownPool, shares::wait_fraction};
 use crate::{
     decision::DecisionReason,
     ids::{PoolName, WorkspaceName},
@@ -10,30 +10,31 @@
     settings::Admission,
 };
 
-/// Quantile of busy times that no call is expected to beat, in per cent.
-const FAST: u32 = 10;
-/// Quantile of busy times that counts as the usual one, in per cent.
-const USUAL: u32 = 50;
-/// Quantile of busy times that a request must still have time for, in per cent.
-const LONG: u32 = 95;
+/// Percentile of busy times taken as the shortest possible one.
+const FAST_PERCENTILE: u32 = 10;
+/// Percentile of busy times taken as the typical one.
+const TYPICAL_PERCENTILE: u32 = 50;
+/// Percentile of busy times for which a request must still have time.
+const SLOW_PERCENTILE: u32 = 95;
 const US_PER_MS: u64 = 1_000;
-/// Time without a refusal after which an overload is over, in ms.
+/// Time without a refusal after which an overload has ended, in ms.
 const OVERLOAD_GAP_MS: u64 = 1_000;
-/// Longest time that a refused caller is asked to stay away, in ms.
-const LONGEST_RETRY_AFTER_MS: u64 = 30_000;
-/// An overload is expected to last as long again as it has, times this.
-const OVERLOAD_OUTLOOK: u64 = 2;
+/// Maximum retry time given to a refused caller, in ms.
+const MAX_RETRY_AFTER_MS: u64 = 30_000;
+/// Factor by which the expected remaining duration of an overload exceeds its
+/// duration so far.
+const OVERLOAD_PROJECTION_FACTOR: u64 = 2;
 
-/// What a request is expected to need.
+/// The time that a request is expected to take.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Forecast {
     /// Time in queues, in µs.
     pub(crate) wait_us: u64,
-    /// Time at work and on the way, in µs.
+    /// Busy time of the calls, in µs.
     pub(crate) work_us: u64,
 }
 
-/// A request that asks to be taken.
+/// A request to be admitted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AdmitQuery<'a> {
     pub(crate) workspace: &'a WorkspaceName,
@@ -42,19 +43,19 @@
     pub(crate) time_left_us: u64,
 }
 
-/// Outcome of an admission decision.
+/// The result of an admission decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Admitted {
-    /// It may begin.
+    /// The request may begin.
     Yes,
-    /// It would not be answered in time.
+    /// The request is refused.
     No {
         reason: DecisionReason,
         retry_after_ms: u64,
     },
 }
 
-/// How long this instance has had to refuse requests.
+/// The current overload: a period in which this instance refuses requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Overload {
     began_ms: u64,
@@ -62,12 +63,13 @@
 }
 
 impl Overload {
-    /// Notes a refusal and returns how long the overload has lasted.
+    /// Records a refusal and returns the duration of the overload so far, in
+    /// ms.
     fn on_refusal(&mut self, now_ms: u64) -> u64 {
-        let goes_on = self
+        let is_ongoing = self
             .last_refusal_ms
             .is_some_and(|last_ms| now_ms.saturating_sub(last_ms) <= OVERLOAD_GAP_MS);
-        if !goes_on {
+        if !is_ongoing {
             self.began_ms = now_ms;
         }
         self.last_refusal_ms = Some(now_ms);
@@ -76,7 +78,7 @@
 }
 
 impl Fleet {
-    /// Decides whether a request is taken.
+    /// Decides whether to admit a request.
     pub(crate) fn admit(&mut self, now_ms: u64, query: &AdmitQuery<'_>) -> Admitted {
         if self.settings.admission == Admission::Off {
             return Admitted::Yes;
@@ -84,38 +86,39 @@
         let forecast = self.forecast(now_ms, &query.pipeline.stages);
         let wait_percent = self.settings.wait_percent_of_slack.of(query.objective);
         let slack_us = query.time_left_us.saturating_sub(forecast.work_us);
-        let most_us = slack_us * u64::from(wait_percent) / 100;
+        let max_wait_us = slack_us * u64::from(wait_percent) / 100;
         let overuse = self.shares.overuse(now_ms, query.workspace);
-        let part = wait_part(&self.settings, overuse);
-        let reason = if forecast.work_us > query.time_left_us || forecast.wait_us > most_us {
+        let permitted_fraction = wait_fraction(&self.settings, overuse);
+        let reason = if forecast.work_us > query.time_left_us || forecast.wait_us > max_wait_us {
             DecisionReason::CannotFinish
-        } else if forecast.wait_us as f64 > most_us as f64 * part {
+        } else if forecast.wait_us as f64 > max_wait_us as f64 * permitted_fraction {
             DecisionReason::OverShare
         } else {
             self.shares
-                .on_taken(now_ms, query.workspace, forecast.work_us);
+                .on_admitted(now_ms, query.workspace, forecast.work_us);
             return Admitted::Yes;
         };
         Admitted::No {
             reason,
-            retry_after_ms: self.retry_after_ms(now_ms, forecast.wait_us.saturating_sub(most_us)),
+            retry_after_ms: self
+                .retry_after_ms(now_ms, forecast.wait_us.saturating_sub(max_wait_us)),
         }
     }
 
-    /// Estimates when a refused caller would be taken: after the queues have
-    /// drained and the overload is over, which is expected to last in
-    /// proportion to how long it has. The answer varies, so that the callers do
-    /// not all come back together.
+    /// Estimates when a refused caller would be admitted, in ms: after the
+    /// queues have drained and the overload has ended, which is expected to
+    /// last in proportion to its duration so far. The result is jittered, so
+    /// that callers do not all retry at once.
     pub(crate) fn retry_after_ms(&mut self, now_ms: u64, excess_wait_us: u64) -> u64 {
-        let lasted_ms = self.overload.on_refusal(now_ms);
+        let duration_ms = self.overload.on_refusal(now_ms);
         let usual_ms = self.settings.default_retry_after_ms
             + excess_wait_us / US_PER_MS
-            + lasted_ms * OVERLOAD_OUTLOOK;
+            + duration_ms * OVERLOAD_PROJECTION_FACTOR;
         let spread_ms = self.rng.random_range(0..=usual_ms / 4);
-        (usual_ms + spread_ms).min(LONGEST_RETRY_AFTER_MS)
+        (usual_ms + spread_ms).min(MAX_RETRY_AFTER_MS)
     }
 
-    /// Estimates the time that stages need from now on.
+    /// Estimates the time that stages take from now on.
     pub(crate) fn forecast(&self, now_ms: u64, stages: &[Stage]) -> Forecast {
         let mut forecast = Forecast::default();
         let mut spread_us = 0;
@@ -124,27 +127,32 @@
                 continue;
             };
             forecast.wait_us += self.pool_wait_us(now_ms, &stage.pool);
-            let usual_us = pool.busy.quantile_us(USUAL).unwrap_or(0);
-            let long_us = pool.busy.quantile_us(LONG).unwrap_or(0);
-            forecast.work_us += usual_us;
-            spread_us = spread_us.max(long_us.saturating_sub(usual_us));
+            let typical_us = pool.busy_times.quantile_us(TYPICAL_PERCENTILE).unwrap_or(0);
+            let slow_us = pool.busy_times.quantile_us(SLOW_PERCENTILE).unwrap_or(0);
+            forecast.work_us += typical_us;
+            spread_us = spread_us.max(slow_us.saturating_sub(typical_us));
         }
         forecast.work_us += spread_us;
         forecast
     }
 
-    /// Returns the time that stages need when all goes well.
+    /// Returns the shortest expected time of stages, in ms.
     pub(crate) fn fastest_ms(&self, stages: &[Stage]) -> u64 {
         let fastest_us: u64 = stages
             .iter()
-            .filter_map(|stage| self.pools.get(&stage.pool)?.busy.quantile_us(FAST))
+            .filter_map(|stage| {
+                self.pools
+                    .get(&stage.pool)?
+                    .busy_times
+                    .quantile_us(FAST_PERCENTILE)
+            })
             .sum();
         fastest_us / US_PER_MS
     }
 
-    /// Estimates the time that a call waits for a slot of a pool: the calls
-    /// beyond the slots of the servers that are open, over the rate at which
-    /// those finish calls.
+    /// Estimates the time that a call waits for a slot of a pool, in µs: the
+    /// calls in excess of the slots of the available servers, divided by the
+    /// rate at which these complete calls.
     pub(crate) fn pool_wait_us(&self, now_ms: u64, name: &PoolName) -> u64 {
         let Some(pool) = self.pools.get(name) else {
             return 0;
@@ -152,8 +160,8 @@
         let (mut calls, mut slots) = (0.0, 0.0);
         for index in &pool.members {
             let backend = &self.backends[*index];
-            if backend.is_open(now_ms) && !backend.leaving {
-                calls += self.load(now_ms, backend) + self.unreported(now_ms, backend);
+            if backend.may_get_call(now_ms) && !backend.leaving {
+                calls += self.load(now_ms, backend) + self.unreported_calls(now_ms, backend);
                 slots += f64::from(backend.slots);
             }
         }
@@ -165,6 +173,6 @@
 
 impl KnownPool {
     pub(crate) fn mean_busy_us(&self) -> u64 {
-        self.busy.mean_us().unwrap_or(0)
+        self.busy_times.mean_us().unwrap_or(0)
     }
 }
--- a/crates/core/src/fleet/observed.rs
+++ b/crates/core/src/fleet/engine_reports.rs
@@ -1,9 +1,9 @@
-//! What engines were last heard to hold.
+//! Reports of engines, for placement previews.
 
 use crate::{fleet::Fleet, placement::EngineReport};
 
 impl Fleet {
-    /// Copies what was reported of each backend server that was heard of.
+    /// Returns the last report of each backend server that has sent one.
     pub fn engine_reports(&self) -> Vec<EngineReport> {
         let reported = self.backends.iter().filter_map(|backend| {
             Some(EngineReport {
--- a/crates/core/src/fleet/health.rs
+++ b/crates/core/src/fleet/health.rs
@@ -1,4 +1,4 @@
-//! Ejects backend servers that fail or cannot be reached, and takes them back.
+//! Ejects backend servers that fail or cannot be reached, and readmits them.
 
 use super::{Fleet, KnownBackend};
 use crate::{
@@ -6,32 +6,32 @@
     settings::{Ejection, PolicySettings},
 };
 
-/// Failures in a row that eject a backend server.
+/// Consecutive failures after which a backend server is ejected.
 const FAILURES_TO_EJECT: u32 = 2;
-/// Doublings of the time for which a backend server stays ejected.
-const MOST_DOUBLINGS: u32 = 4;
+/// Maximum doublings of the ejection time.
+const MAX_DOUBLINGS: u32 = 4;
 
-/// What a bad answer says about a backend server.
+/// The kind of a failure of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// It answers, but not well.
+    /// It responds, but with errors or too slowly.
     Failing,
-    /// Its connection broke or has gone quiet.
+    /// Its connection broke or has gone silent.
     Silent,
-    /// No connection to it can be opened.
+    /// No connection to it can be established.
     Unreachable,
 }
 
-/// How a backend server has answered lately.
+/// The recent health of a backend server.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Health {
-    /// Bad answers since the last good one.
+    /// Failures since the last success.
     pub(crate) failures: u32,
     /// Time until which it gets no calls, in ms.
     pub(crate) ejected_until_ms: u64,
-    /// Why it was ejected last.
+    /// Reason for the last ejection.
     fault: Option<Fault>,
-    /// Ejections since it was last well.
+    /// Ejections since the last success.
     ejections: u32,
 }
 
@@ -40,14 +40,14 @@
         now_ms < self.ejected_until_ms
     }
 
-    /// Tells whether it was taken back and has not answered well yet: it gets
-    /// one call at a time.
-    pub(crate) fn is_on_trial(&self, now_ms: u64) -> bool {
+    /// Returns whether it was readmitted and has not succeeded yet: it gets one
+    /// call at a time.
+    pub(crate) fn is_on_probation(&self, now_ms: u64) -> bool {
         self.ejections > 0 && !self.is_ejected(now_ms)
     }
 
-    /// Tells whether its last answer was good.
-    pub(crate) fn is_well(&self) -> bool {
+    /// Returns whether it has not failed since its last success.
+    pub(crate) fn is_healthy(&self) -> bool {
         self.failures == 0 && self.ejections == 0
     }
 
@@ -60,7 +60,7 @@
     }
 
     fn eject(&mut self, now_ms: u64, fault: Fault, settings: &PolicySettings) {
-        let doublings = self.ejections.min(MOST_DOUBLINGS);
+        let doublings = self.ejections.min(MAX_DOUBLINGS);
         self.ejections += 1;
         self.fault = Some(fault);
         self.ejected_until_ms = now_ms + (settings.ejection_ms << doublings);
@@ -68,23 +68,24 @@
 }
 
 impl KnownBackend {
-    /// Tells whether it may get one more call, as far as its health goes.
-    pub(super) fn is_open(&self, now_ms: u64) -> bool {
-        !self.health.is_ejected(now_ms) && (self.in_flight == 0 || !self.health.is_on_trial(now_ms))
+    /// Returns whether its health permits one more call.
+    pub(super) fn may_get_call(&self, now_ms: u64) -> bool {
+        !self.health.is_ejected(now_ms)
+            && (self.in_flight == 0 || !self.health.is_on_probation(now_ms))
     }
 }
 
 impl Fleet {
-    /// Counts a bad answer, and ejects the backend server if it is one of
-    /// several in a row. Servers that fail are ejected up to a share of their
-    /// pool; more at once means that the fault lies elsewhere. There is no such
-    /// cap for servers that cannot be reached.
+    /// Counts a failure and ejects the backend server after several in a row.
+    /// Failing servers are ejected up to a share of their pool; more at once
+    /// means that the fault lies elsewhere. There is no such cap for servers
+    /// that are silent or cannot be reached.
     pub(crate) fn on_bad_answer(&mut self, now_ms: u64, name: &BackendName, fault: Fault) {
         let settings = self.settings.clone();
         if settings.ejection == Ejection::Off {
             return;
         }
-        let has_room = fault != Fault::Failing || self.may_eject_one_more(now_ms, name);
+        let may_eject = fault != Fault::Failing || self.may_eject_one_more(now_ms, name);
         let Some(backend) = self.known_mut(name) else {
             return;
         };
@@ -92,24 +93,24 @@
         health.failures += 1;
         let is_outlier = fault == Fault::Unreachable
             || health.failures >= FAILURES_TO_EJECT
-            || health.is_on_trial(now_ms);
-        if is_outlier && has_room && !health.is_ejected(now_ms) {
+            || health.is_on_probation(now_ms);
+        if is_outlier && may_eject && !health.is_ejected(now_ms) {
             health.eject(now_ms, fault, &settings);
         }
     }
 
-    /// Tells whether so many of a pool's servers are unwell that the stage is
-    /// slow and not one of them.
+    /// Returns whether more than half of the servers of a pool are unhealthy,
+    /// which means that the stage is slow and not single servers.
     pub(crate) fn is_pool_degraded(&self, name: &PoolName) -> bool {
         let Some(pool) = self.pools.get(name) else {
             return false;
         };
-        let unwell = pool
+        let unhealthy = pool
             .members
             .iter()
-            .filter(|index| !self.backends[**index].health.is_well())
+            .filter(|index| !self.backends[**index].health.is_healthy())
             .count();
-        unwell * 2 > pool.members.len()
+        unhealthy * 2 > pool.members.len()
     }
 
     fn may_eject_one_more(&self, now_ms: u64, name: &BackendName) -> bool {
@@ -124,7 +125,7 @@
             .iter()
             .filter(|index| self.backends[**index].health.counts_against_cap(now_ms))
             .count();
-        let most = pool.members.len() * self.settings.ejected_percent_max as usize / 100;
-        ejected < most.max(1)
+        let max_ejected = pool.members.len() * self.settings.ejected_percent_max as usize / 100;
+        ejected < max_ejected.max(1)
     }
 }
--- a/crates/core/src/fleet/in_flight.rs
+++ b/crates/core/src/fleet/in_flight.rs
@@ -1,34 +1,39 @@
-//! How many calls an instance had open at a backend server, lately.
+//! The recent history of open calls of an instance at a backend server.
 
 use std::collections::VecDeque;
 
-/// Steps that are kept, a step being all changes of one period.
-const KEPT: usize = 64;
+/// Maximum steps in the history; a step combines all changes of one period.
+const MAX_STEPS: usize = 64;
 /// Length of a step, in ms.
 const STEP_MS: u64 = 50;
 
-/// Open calls as they changed, in steps of 50 ms.
+/// The history of open calls, in steps of 50 ms.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct InFlightHistory {
-    /// Start of the step and open calls at its end.
+    /// Start of each step in ms and open calls at its end.
     steps: VecDeque<(u64, u32)>,
 }
 
 impl InFlightHistory {
     pub(crate) fn record(&mut self, now_ms: u64, in_flight: u32) {
-        let step = now_ms - now_ms % STEP_MS;
+        let step_start_ms = now_ms - now_ms % STEP_MS;
         match self.steps.back_mut() {
-            Some((start, value)) if *start == step => *value = in_flight,
-            _ => self.steps.push_back((step, in_flight)),
+            Some((start_ms, value)) if *start_ms == step_start_ms => *value = in_flight,
+            _ => self.steps.push_back((step_start_ms, in_flight)),
         }
-        if self.steps.len() > KEPT {
+        if self.steps.len() > MAX_STEPS {
             self.steps.pop_front();
         }
     }
 
-    /// Returns the calls that were open at a time; the oldest known before.
+    /// Returns the open calls at a time; times before the history yield its
+    /// oldest value.
     pub(crate) fn at(&self, at_ms: u64) -> u32 {
-        let before = self.steps.iter().rev().find(|(start, _)| *start <= at_ms);
+        let before = self
+            .steps
+            .iter()
+            .rev()
+            .find(|(start_ms, _)| *start_ms <= at_ms);
         before
             .or(self.steps.front())
             .map_or(0, |(_, in_flight)| *in_flight)
--- a/crates/core/src/fleet/known.rs
+++ b/crates/core/src/fleet/known.rs
@@ -1,4 +1,4 @@
-//! What is known of each backend server and pool.
+//! The state of each backend server and pool.
 
 use super::{health::Health, in_flight::InFlightHistory, refusals::Refusals};
 use crate::{
@@ -7,18 +7,19 @@
     quantile::Quantiles,
 };
 
-/// State of a backend server as one instance sees it.
+/// The state of a backend server as seen by one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum BackendState {
-    /// It gets new work.
+    /// It gets new calls.
     Serving,
-    /// It is leaving and gets nothing new.
+    /// It is leaving and gets no new calls.
     Leaving,
-    /// It failed too often and is left alone for a while.
+    /// It failed too often and gets no calls for a while.
     Ejected,
-    /// It has asked this instance for backoff and gets nothing until that ends.
+    /// It has requested a backoff from this instance and gets no calls until
+    /// that ends.
     BackingOff,
-    /// Nothing was heard of it yet; it gets new work.
+    /// It has neither reported nor completed a call yet; it gets new calls.
     Unknown,
 }
 
@@ -35,7 +36,7 @@
     }
 }
 
-/// A backend server as the admin interface shows it.
+/// The status of a backend server for the admin interface.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackendStatus {
     /// Name of the backend server.
@@ -46,9 +47,9 @@
     pub zone: ZoneName,
     /// Its state.
     pub state: BackendState,
-    /// Calls that this instance has open there.
+    /// Open calls of this instance.
     pub in_flight: u32,
-    /// Load last reported: calls running and waiting.
+    /// Last reported load: running and queued calls.
     pub reported: Option<u32>,
     /// Age of that report, in ms.
     pub age_ms: Option<u64>,
@@ -68,16 +69,16 @@
     pub(crate) zone: ZoneName,
     pub(crate) slots: u32,
     pub(crate) leaving: bool,
-    /// Whether the platform's list calls it leaving.
+    /// Whether the platform's list marks it as leaving.
     pub(crate) listed_leaving: bool,
-    pub(crate) heard: bool,
+    pub(crate) is_confirmed: bool,
     pub(crate) health: Health,
     pub(crate) refusals: Refusals,
     pub(crate) in_flight: u32,
-    /// Calls that this instance had open there lately.
+    /// Recent history of open calls of this instance.
     pub(crate) recent: InFlightHistory,
     pub(crate) report: Option<Report>,
-    /// Models that the last report names; nothing is known before it.
+    /// Models in the last report; `None` before the first one.
     pub(crate) models: Option<Vec<ModelName>>,
 }
 
@@ -90,7 +91,7 @@
             slots: backend.slots.max(1),
             leaving: false,
             listed_leaving: false,
-            heard: false,
+            is_confirmed: false,
             health: Health::default(),
             refusals: Refusals::default(),
             in_flight: 0,
@@ -105,14 +106,14 @@
             BackendState::Leaving
         } else if self.health.is_ejected(now_ms) {
             BackendState::Ejected
-        } else if self.heard {
+        } else if self.is_confirmed {
             BackendState::Serving
         } else {
             BackendState::Unknown
         }
     }
 
-    /// Describes it, with the end of its backoff in ms.
+    /// Returns its status; `backoff_until_ms` is the end of its backoff.
     pub(super) fn status(&self, now_ms: u64, backoff_until_ms: u64) -> BackendStatus {
         let state = match self.state(now_ms) {
             BackendState::Serving | BackendState::Unknown if backoff_until_ms > now_ms => {
@@ -138,15 +139,15 @@
 #[derive(Clone, Debug)]
 pub(crate) struct KnownPool {
     pub(crate) pool: Pool,
-    /// Its backend servers, as indices into the fleet's.
+    /// Its backend servers, as indices into the list of the fleet.
     pub(crate) members: Vec<usize>,
-    pub(crate) next_turn: usize,
-    /// Busy time of a call.
-    pub(crate) busy: Quantiles,
-    /// Time from a call to its first sign of life.
-    pub(crate) first: Quantiles,
-    /// Time between two tokens.
-    pub(crate) gap: Quantiles,
+    pub(crate) round_robin_index: usize,
+    /// Busy times of calls.
+    pub(crate) busy_times: Quantiles,
+    /// Times from sending a call to its first token or its completion.
+    pub(crate) first_progress_times: Quantiles,
+    /// Times between two tokens.
+    pub(crate) token_gaps: Quantiles,
 }
 
 impl KnownPool {
@@ -154,10 +155,10 @@
         Self {
             pool: pool.clone(),
             members: Vec::new(),
-            next_turn: 0,
-            busy: Quantiles::default(),
-            first: Quantiles::default(),
-            gap: Quantiles::default(),
+            round_robin_index: 0,
+            busy_times: Quantiles::default(),
+            first_progress_times: Quantiles::default(),
+            token_gaps: Quantiles::default(),
         }
     }
 }
--- a/crates/core/src/fleet/prefixes.rs
+++ b/crates/core/src/fleet/prefixes.rs
@@ -1,30 +1,30 @@
-//! Which engines may have a prompt prefix in their cache.
+//! Tracks the engines that may have a prompt prefix in their cache.
 //!
-//! Cache events come late and with gaps, so that an entry is a hint: it earns
-//! an engine a bounded bonus and never more.
+//! Cache events arrive late and incompletely, so an entry is only a hint: it
+//! gives an engine a bounded bonus.
 
 use std::collections::{BTreeMap, HashMap};
 
 use super::Fleet;
 use crate::ids::BackendName;
 
-/// Prefixes that are remembered.
-const MOST_PREFIXES: usize = 4_096;
-/// Engines that are remembered for each prefix, the latest first.
-const MOST_HOLDERS: usize = 4;
+/// Maximum number of tracked prefixes.
+const MAX_PREFIXES: usize = 4_096;
+/// Maximum number of engines tracked for each prefix, the most recent first.
+const MAX_HOLDERS: usize = 4;
 
-/// Engines that may hold each prefix.
+/// Engines that may have each prefix cached.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Prefixes {
-    holders: HashMap<u64, Entry>,
-    /// Prefixes by the time of their last use, for forgetting the oldest.
-    by_use: BTreeMap<u64, u64>,
-    uses: u64,
+    holders: HashMap<u64, PrefixEntry>,
+    /// Prefixes by their last use, for evicting the least recently used.
+    prefixes_by_last_use: BTreeMap<u64, u64>,
+    use_counter: u64,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Entry {
-    used: u64,
+struct PrefixEntry {
+    last_use: u64,
     backends: Vec<BackendName>,
 }
 
@@ -40,7 +40,7 @@
         let entry = self.holders.entry(prefix).or_default();
         entry.backends.retain(|known| known != backend);
         entry.backends.insert(0, backend.clone());
-        entry.backends.truncate(MOST_HOLDERS);
+        entry.backends.truncate(MAX_HOLDERS);
     }
 
     pub(crate) fn on_dropped(&mut self, prefix: u64, backend: &BackendName) {
@@ -50,13 +50,13 @@
     }
 
     fn touch(&mut self, prefix: u64) {
-        self.uses += 1;
+        self.use_counter += 1;
         let entry = self.holders.entry(prefix).or_default();
-        self.by_use.remove(&entry.used);
-        entry.used = self.uses;
-        self.by_use.insert(self.uses, prefix);
-        if self.by_use.len() > MOST_PREFIXES
-            && let Some((_, oldest)) = self.by_use.pop_first()
+        self.prefixes_by_last_use.remove(&entry.last_use);
+        entry.last_use = self.use_counter;
+        self.prefixes_by_last_use.insert(self.use_counter, prefix);
+        if self.prefixes_by_last_use.len() > MAX_PREFIXES
+            && let Some((_, oldest)) = self.prefixes_by_last_use.pop_first()
         {
             self.holders.remove(&oldest);
         }
@@ -64,7 +64,7 @@
 }
 
 impl Fleet {
-    /// Takes in that an engine has cached or dropped a prefix.
+    /// Records that an engine has cached or dropped a prefix.
     pub fn on_cache_event(&mut self, backend: &BackendName, prefix: u64, cached: bool) {
         if cached {
             self.prefixes.on_cached(prefix, backend);
--- a/crates/core/src/fleet/reach.rs
+++ b/crates/core/src/fleet/reach.rs
@@ -1,83 +1,87 @@
-//! Tells whether the way to an availability zone seems to be cut.
+//! Detects that an availability zone cannot be reached.
 //!
-//! The load that it answers: a zone with a third of the engines is cut off. Each
-//! of 68 instances would find out for each of 30 engines that no connection can
-//! be made, and a request in three would wait for that once or more, while the
-//! results that it needs take the room of others.
+//! Guards against the following load: a zone with a third of the engines is cut
+//! off. Each of 68 instances would detect separately for each of 30 engines
+//! that no connection can be established, and one request in three would wait
+//! for that at least once, while the results that it needs occupy the room of
+//! others.
 
 use super::Fleet;
 use crate::ids::{BackendName, ZoneName};
 
-/// Servers of a zone that could not be reached, none having answered since, from
-/// which the way there counts as cut: one may have crashed, and of two that were
-/// drawn at random both have crashed in 3 of 100 cases on days on which a sixth
-/// of the servers does.
-const UNREACHED_SERVERS: usize = 2;
-/// Time within which they count together, in ms: an instance sends some requests
-/// a second to each zone.
-const MEMORY_MS: u64 = 2_000;
-/// Time for which servers of the zone are passed over at first, in ms; after
-/// that a request finds out.
-const FIRST_PAUSE_MS: u64 = 1_000;
-/// Doublings of that time while nothing there answers: a zone that is back is
-/// found within 4 s.
-const MOST_DOUBLINGS: u32 = 2;
+/// Unreachable servers of a zone, without a response from any other since, from
+/// which the zone counts as cut off. One may have crashed; on days on which a
+/// sixth of the servers crash, two randomly chosen ones have both crashed in 3
+/// of 100 cases.
+const MIN_UNREACHABLE_SERVERS: usize = 2;
+/// Time within which failures are counted together, in ms: an instance sends a
+/// few requests a second to each zone.
+const FAILURE_WINDOW_MS: u64 = 2_000;
+/// First period in which servers of the zone are avoided, in ms; after it a
+/// request probes the zone.
+const FIRST_AVOID_MS: u64 = 1_000;
+/// Maximum doublings of that time while no server of the zone responds: a zone
+/// that has recovered is detected within 4 s.
+const MAX_DOUBLINGS: u32 = 2;
 
-/// What connections to one zone have come to lately.
+/// Recent connection failures to one zone.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ZoneReach {
-    /// Servers that could not be reached since one answered.
-    unreached: Vec<BackendName>,
-    /// Time of the last such failure, in ms.
+    /// Unreachable servers since the last response from the zone.
+    unreachable_servers: Vec<BackendName>,
+    /// Time of the last connection failure, in ms.
     failed_at_ms: u64,
-    /// Time until which the zone is passed over, in ms.
+    /// Time until which the zone is avoided, in ms.
     avoided_until_ms: u64,
-    pauses: u32,
+    avoid_doublings: u32,
 }
 
 impl ZoneReach {
-    fn on_unreachable(&mut self, now_ms: u64, server: &BackendName) {
+    fn on_failure(&mut self, now_ms: u64, server: &BackendName) {
         let last_ms = self.failed_at_ms.max(self.avoided_until_ms);
-        if now_ms > last_ms + MEMORY_MS {
+        if now_ms > last_ms + FAILURE_WINDOW_MS {
             *self = Self::default();
         }
         self.failed_at_ms = now_ms;
-        if !self.unreached.contains(server) {
-            self.unreached.push(server.clone());
+        if !self.unreachable_servers.contains(server) {
+            self.unreachable_servers.push(server.clone());
         }
-        if self.unreached.len() >= UNREACHED_SERVERS && now_ms >= self.avoided_until_ms {
-            self.avoided_until_ms = now_ms + (FIRST_PAUSE_MS << self.pauses);
-            self.pauses = (self.pauses + 1).min(MOST_DOUBLINGS);
+        if self.unreachable_servers.len() >= MIN_UNREACHABLE_SERVERS
+            && now_ms >= self.avoided_until_ms
+        {
+            self.avoided_until_ms = now_ms + (FIRST_AVOID_MS << self.avoid_doublings);
+            self.avoid_doublings = (self.avoid_doublings + 1).min(MAX_DOUBLINGS);
         }
     }
 }
 
 impl Fleet {
-    /// Notes that no connection to a server could be made.
-    pub(super) fn on_unreached(&mut self, now_ms: u64, server: &BackendName) {
+    /// Records that no connection to a server could be established.
+    pub(super) fn on_connect_failed(&mut self, now_ms: u64, server: &BackendName) {
         let Some(zone) = self.known(server).map(|known| known.zone.clone()) else {
             return;
         };
         let reach = self.reach.entry(zone).or_default();
-        reach.on_unreachable(now_ms, server);
+        reach.on_failure(now_ms, server);
     }
 
-    /// Notes that a server answered something.
-    pub(super) fn on_reached(&mut self, server: &BackendName) {
+    /// Records that a server responded, which clears the failures of its zone.
+    pub(super) fn on_response(&mut self, server: &BackendName) {
         let Some(zone) = self.known(server).map(|known| known.zone.clone()) else {
             return;
         };
         self.reach.remove(&zone);
     }
 
-    /// Returns the zones whose servers are passed over.
+    /// Returns the zones whose servers are avoided.
     pub fn cut_off_zones(&self, now_ms: u64) -> Vec<ZoneName> {
         let zones = self.reach.keys();
         let cut_off = zones.filter(|zone| self.is_cut_off(now_ms, zone));
         cut_off.cloned().collect()
     }
 
-    /// Tells whether servers of `zone` are passed over, where there are others.
+    /// Returns whether servers of `zone` are avoided in favour of servers
+    /// elsewhere.
     pub fn is_cut_off(&self, now_ms: u64, zone: &ZoneName) -> bool {
         let reach = self.reach.get(zone);
         reach.is_some_and(|reach| now_ms < reach.avoided_until_ms)
--- a/crates/core/src/fleet/retry_budget.rs
+++ b/crates/core/src/fleet/retry_budget.rs
@@ -1,17 +1,17 @@
-//! Bounds retries to a share of the traffic.
+//! Limits retries to a share of the traffic.
 
 use crate::settings::PolicySettings;
 
-const PERCENT: u64 = 100;
+const UNITS_PER_RETRY: u64 = 100;
 
-/// Earns a fraction of a retry with each first attempt.
+/// A token bucket that earns a fraction of a retry with each first attempt.
 #[derive(Clone, Debug)]
 pub(crate) struct RetryBudget {
     /// Hundredths of a retry earned by one first attempt.
-    earn: u64,
-    /// Most hundredths that can be saved up.
+    earned_per_attempt: u64,
+    /// Maximum balance, in hundredths of a retry.
     cap: u64,
-    saved: u64,
+    balance: u64,
 }
 
 impl RetryBudget {
@@ -19,33 +19,33 @@
         Self::with(settings.retry_percent, settings.retry_burst)
     }
 
-    /// Creates a full budget that earns `percent` hundredths with each first
-    /// attempt and saves up at most `burst` retries.
+    /// Creates a full budget that earns `percent` hundredths of a retry with
+    /// each first attempt and holds at most `burst` retries.
     pub(crate) fn with(percent: u32, burst: u32) -> Self {
-        let cap = u64::from(burst) * PERCENT;
+        let cap = u64::from(burst) * UNITS_PER_RETRY;
         Self {
-            earn: u64::from(percent),
+            earned_per_attempt: u64::from(percent),
             cap,
-            saved: cap,
+            balance: cap,
         }
     }
 
-    /// Lowers or raises what can be saved up to `burst` retries.
+    /// Sets the maximum balance to `burst` retries.
     pub(crate) fn set_burst(&mut self, burst: u32) {
-        self.cap = u64::from(burst) * PERCENT;
-        self.saved = self.saved.min(self.cap);
+        self.cap = u64::from(burst) * UNITS_PER_RETRY;
+        self.balance = self.balance.min(self.cap);
     }
 
     pub(crate) fn on_first_attempt(&mut self) {
-        self.saved = (self.saved + self.earn).min(self.cap);
+        self.balance = (self.balance + self.earned_per_attempt).min(self.cap);
     }
 
-    /// Takes one retry out of the budget, if there is one.
+    /// Takes one retry out of the budget, if available.
     pub(crate) fn try_spend(&mut self) -> bool {
-        let has_one = self.saved >= PERCENT;
-        if has_one {
-            self.saved -= PERCENT;
+        let is_available = self.balance >= UNITS_PER_RETRY;
+        if is_available {
+            self.balance -= UNITS_PER_RETRY;
         }
-        has_one
+        is_available
     }
 }
--- a/crates/core/src/fleet/route.rs
+++ b/crates/core/src/fleet/route.rs
@@ -1,4 +1,4 @@
-//! Chooses the backend server of one call.
+//! Chooses the backend server for one call.
 
 use rand::{Rng, RngExt};
 
@@ -10,22 +10,22 @@
     settings::{Affinity, Routing, Spill},
 };
 
-/// What a call needs of its backend server.
+/// The requirements of a call.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RouteQuery<'a> {
     pub(crate) pool: &'a PoolName,
     pub(crate) model: Option<&'a ModelName>,
-    /// Backend servers that the stage has tried; others are better.
+    /// Backend servers that the stage has tried; others are preferred.
     pub(crate) tried: &'a [BackendName],
-    /// Prefix of its prompt that an engine may have cached.
+    /// Prompt prefix that an engine may have cached.
     pub(crate) prefix: Option<u64>,
-    /// Whether the call may be repeated after a failure.
+    /// Whether the call may be retried after a failure.
     pub(crate) idempotent: bool,
-    /// What its operator weighs more heavily.
+    /// Objective that the operator prioritises.
     pub(crate) objective: Objective,
 }
 
-/// Outcome of a routing decision.
+/// The result of a routing decision.
 #[derive(Clone, Debug)]
 pub(crate) struct Routed {
     pub(crate) candidates: Vec<Candidate>,
@@ -38,49 +38,49 @@
     pub(crate) fn route(&mut self, now_ms: u64, query: &RouteQuery<'_>) -> Routed {
         let eligible = self.eligible(now_ms, query);
         match self.settings.routing {
-            Routing::RoundRobin => self.take_turn(now_ms, query, &eligible),
-            Routing::TwoChoices => self.choose_of_two(now_ms, query, &eligible),
+            Routing::RoundRobin => self.choose_round_robin(now_ms, query, &eligible),
+            Routing::TwoChoices => self.choose_least_loaded(now_ms, query, &eligible),
         }
     }
 
-    /// Tells whether a backend server that has not been tried can take the call.
+    /// Returns whether an untried backend server can take the call.
     pub(crate) fn has_untried(&self, now_ms: u64, query: &RouteQuery<'_>) -> bool {
         let is_untried = |index: &usize| !query.tried.contains(&self.backends[*index].name);
-        self.able(now_ms, query).iter().any(is_untried)
+        self.available(now_ms, query).iter().any(is_untried)
     }
 
-    /// Returns the members that are best for the call as far as their health
-    /// goes: untried ones in zones that are reached, which have not refused lately,
-    /// if there are any.
+    /// Returns the preferred members for the call by health: untried ones in
+    /// reachable zones without recent refusals, if there are any.
     pub(crate) fn eligible(&self, now_ms: u64, query: &RouteQuery<'_>) -> Vec<usize> {
-        let mut able = self.able(now_ms, query);
-        if able.is_empty() && query.idempotent {
-            able = self.last_resorts(now_ms, query);
+        let mut available = self.available(now_ms, query);
+        if available.is_empty() && query.idempotent {
+            available = self.fallbacks(now_ms, query);
         }
-        let untried = prefer(able, |index| {
+        let untried = prefer(available, |index| {
             !query.tried.contains(&self.backends[index].name)
         });
-        let reached = prefer(untried, |index| {
+        let reachable = prefer(untried, |index| {
             !self.is_cut_off(now_ms, &self.backends[index].zone)
         });
-        let taking = prefer(reached, |index| {
+        let accepting = prefer(reachable, |index| {
             !self.backends[index].refusals.is_avoided(now_ms)
         });
         if query.idempotent {
-            return taking;
+            return accepting;
         }
-        prefer(taking, |index| self.backends[index].health.is_well())
+        prefer(accepting, |index| self.backends[index].health.is_healthy())
     }
 
     /// Returns the members that can take the call.
-    fn able(&self, now_ms: u64, query: &RouteQuery<'_>) -> Vec<usize> {
-        let mut able = self.able_with_grant(now_ms, query);
-        able.retain(|index| self.limits.is_open(now_ms, &self.backends[*index].name));
-        able
+    fn available(&self, now_ms: u64, query: &RouteQuery<'_>) -> Vec<usize> {
+        let mut available = self.available_ignoring_grants(now_ms, query);
+        available.retain(|index| self.limits.is_open(now_ms, &self.backends[*index].name));
+        available
     }
 
-    /// Returns the members that can take the call, also where no grant is to be had for them.
-    fn able_with_grant(&self, now_ms: u64, query: &RouteQuery<'_>) -> Vec<usize> {
+    /// Returns the members that can take the call, including those without an
+    /// available grant.
+    fn available_ignoring_grants(&self, now_ms: u64, query: &RouteQuery<'_>) -> Vec<usize> {
         let Some(pool) = self.pools.get(query.pool) else {
             return Vec::new();
         };
@@ -91,12 +91,14 @@
         pool.members.iter().copied().filter(can_serve).collect()
     }
 
-    /// Tells whether a server may be sent a call, as far as it is cold or backs off.
+    /// Returns whether cold start limits and backoffs permit a call to a
+    /// server.
     fn allows(&self, now_ms: u64, server: &BackendName) -> bool {
         self.cold.allows(now_ms, server) && self.backoffs.allows(now_ms, server)
     }
 
-    /// Returns the members that can take the call and their limits, if all of them name one.
+    /// Returns the members that can take the call and their rate limits, if all
+    /// of them declare one.
     pub(crate) fn all_limited(
         &self,
         now_ms: u64,
@@ -105,8 +107,8 @@
         if self.limits.is_empty() {
             return Vec::new();
         }
-        let able = self.able_with_grant(now_ms, query).into_iter();
-        let limits = able.map(|index| {
+        let available = self.available_ignoring_grants(now_ms, query).into_iter();
+        let limits = available.map(|index| {
             let name = &self.backends[index].name;
             Some((name.clone(), self.limits.limit_per_s(name)?))
         });
@@ -114,10 +116,10 @@
         limits.unwrap_or_default()
     }
 
-    /// Returns the time until the first backoff of a server ends, in ms, while backoffs are all
-    /// that keeps the members from taking the call.
+    /// Returns the time until the first backoff of a server ends, in ms, if
+    /// backoffs are the only reason why no member can take the call.
     pub(crate) fn backoff_ends_in_ms(&self, now_ms: u64, query: &RouteQuery<'_>) -> Option<u64> {
-        if !self.able_with_grant(now_ms, query).is_empty() {
+        if !self.available_ignoring_grants(now_ms, query).is_empty() {
             return None;
         }
         let pool = self.pools.get(query.pool)?;
@@ -130,10 +132,10 @@
         ends_in.filter(|ends_in_ms| *ends_in_ms > 0).min()
     }
 
-    /// Returns the members that can take the call but for their health: where
-    /// there is no better one, a call that may be repeated is worth a try, and a
-    /// server that is slow or unlucky goes on serving when the others leave.
-    fn last_resorts(&self, now_ms: u64, query: &RouteQuery<'_>) -> Vec<usize> {
+    /// Returns the members that can take the call regardless of their health:
+    /// without a healthy one, an idempotent call is still worth an attempt, and
+    /// a slow or unlucky server continues to serve when the others leave.
+    fn fallbacks(&self, now_ms: u64, query: &RouteQuery<'_>) -> Vec<usize> {
         let Some(pool) = self.pools.get(query.pool) else {
             return Vec::new();
         };
@@ -147,24 +149,34 @@
         pool.members.iter().copied().filter(can_serve).collect()
     }
 
-    fn take_turn(&mut self, now_ms: u64, query: &RouteQuery<'_>, eligible: &[usize]) -> Routed {
+    fn choose_round_robin(
+        &mut self,
+        now_ms: u64,
+        query: &RouteQuery<'_>,
+        eligible: &[usize],
+    ) -> Routed {
         let Some(pool) = self.pools.get_mut(query.pool) else {
-            return none();
+            return no_backend();
         };
         if eligible.is_empty() {
-            return none();
+            return no_backend();
         }
-        let turn = pool.next_turn;
-        pool.next_turn = turn.wrapping_add(1);
+        let position = pool.round_robin_index;
+        pool.round_robin_index = position.wrapping_add(1);
         self.routed(
             now_ms,
             query,
-            &[eligible[turn % eligible.len()]],
+            &[eligible[position % eligible.len()]],
             DecisionReason::Turn,
         )
     }
 
-    fn choose_of_two(&mut self, now_ms: u64, query: &RouteQuery<'_>, eligible: &[usize]) -> Routed {
+    fn choose_least_loaded(
+        &mut self,
+        now_ms: u64,
+        query: &RouteQuery<'_>,
+        eligible: &[usize],
+    ) -> Routed {
         let (near, far): (Vec<usize>, Vec<usize>) = eligible
             .iter()
             .partition(|index| self.backends[**index].zone == self.zone);
@@ -178,13 +190,13 @@
             }
         }
         match considered.len() {
-            0 => none(),
+            0 => no_backend(),
             1 => self.routed(now_ms, query, &considered, DecisionReason::Only),
             _ => self.routed(now_ms, query, &considered, DecisionReason::LeastLoad),
         }
     }
 
-    /// Returns the engines that may have the call's prefix cached.
+    /// Returns the engines that may have the prefix of the call cached.
     fn holders(&self, query: &RouteQuery<'_>) -> Vec<usize> {
         let Some(prefix) = query.prefix else {
             return Vec::new();
@@ -199,7 +211,7 @@
             .collect()
     }
 
-    /// Scores `considered` and chooses the lowest.
+    /// Scores `considered` and chooses the lowest score.
     fn routed(
         &self,
         now_ms: u64,
@@ -237,7 +249,7 @@
     }
 }
 
-/// Keeps those that are better, if there are any.
+/// Returns the indices that satisfy `is_better`, or all if none does.
 fn prefer(indices: Vec<usize>, is_better: impl Fn(usize) -> bool) -> Vec<usize> {
     let better: Vec<usize> = indices
         .iter()
@@ -247,7 +259,7 @@
     if better.is_empty() { indices } else { better }
 }
 
-fn none() -> Routed {
+fn no_backend() -> Routed {
     Routed {
         candidates: Vec::new(),
         choice: None,
@@ -260,7 +272,7 @@
         backend.state(now_ms),
         BackendState::Serving | BackendState::Unknown
     );
-    is_serving && backend.is_open(now_ms) && has_model(backend, query.model)
+    is_serving && backend.may_get_call(now_ms) && has_model(backend, query.model)
 }
 
 fn has_model(backend: &KnownBackend, model: Option<&ModelName>) -> bool {
@@ -270,7 +282,7 @@
     }
 }
 
-/// Picks two of `choices` at random, or all there are.
+/// Picks two of `choices` at random, or all if there are fewer.
 fn pick_two(rng: &mut impl Rng, choices: &[usize]) -> Vec<usize> {
     if choices.len() <= 2 {
         return choices.to_vec();
--- a/crates/core/src/fleet/score.rs
+++ b/crates/core/src/fleet/score.rs
@@ -1,26 +1,28 @@
-//! Estimates what a call would meet at a backend server.
+//! Estimates the cost of sending a call to a backend server.
 
 use super::{Fleet, KnownBackend, KnownPool, RouteQuery};
 use crate::settings::Reports;
 
-/// Busy time of a call that is assumed before one was seen, in µs.
-const ASSUMED_BUSY_US: u64 = 10_000;
+/// Busy time assumed before the first sample, in µs.
+const DEFAULT_BUSY_US: u64 = 10_000;
 const US_PER_MS: u64 = 1_000;
-/// Part of a call's busy time after which a report has faded to a third: the
-/// instances that read it answer to it sooner than calls end.
-const REPORT_LIFE: f64 = 0.3;
-/// Calls by which another availability zone must be less loaded.
-const FAR_CALLS: u64 = 2;
-/// Time on the way to another availability zone and back that is assumed
-/// before one was seen, in µs.
-const ASSUMED_WAY_US: u64 = 2_000;
-/// Share of the calls to a zone whose time beside work counts as the way
-/// alone, in per cent.
-const WAY_QUANTILE: u32 = 10;
+/// Fraction of a call's busy time after which the weight of a report has
+/// decayed to about a third. It is less than one because the instances that
+/// read a report react to it before calls end.
+const REPORT_DECAY_FACTOR: f64 = 0.3;
+/// Calls by which a server in another availability zone must be less loaded to
+/// be preferred.
+const REMOTE_PENALTY_CALLS: u64 = 2;
+/// Round trip time to another availability zone assumed before the first
+/// sample, in µs.
+const DEFAULT_NETWORK_US: u64 = 2_000;
+/// Percentile of the time outside of work that is taken as the network round
+/// trip to a zone.
+const NETWORK_PERCENTILE: u32 = 10;
 
 impl Fleet {
-    /// Scores a backend server for a call: its expected wait, and the way there
-    /// when it stands in another availability zone.
+    /// Scores a backend server for a call: its expected wait, plus the round
+    /// trip if it is in another availability zone. The lowest score wins.
     pub(super) fn score_us(&self, now_ms: u64, backend: &KnownBackend) -> u64 {
         let busy_us = self.busy_us(backend);
         let slots = u64::from(backend.slots);
@@ -29,11 +31,11 @@
         if backend.zone == self.zone {
             wait_us
         } else {
-            wait_us + self.way_us(backend) + FAR_CALLS * busy_us / slots
+            wait_us + self.network_us(backend) + REMOTE_PENALTY_CALLS * busy_us / slots
         }
     }
 
-    /// Returns what an engine without a prompt's prefix is behind one with it.
+    /// Returns the score penalty of an engine without the prompt prefix, in µs.
     pub(super) fn affinity_us(&self, query: &RouteQuery<'_>) -> u64 {
         let busy_us = self
             .pools
@@ -46,60 +48,62 @@
     fn busy_us(&self, backend: &KnownBackend) -> u64 {
         self.pools
             .get(&backend.pool)
-            .and_then(|pool| pool.busy.mean_us())
-            .unwrap_or(ASSUMED_BUSY_US)
+            .and_then(|pool| pool.busy_times.mean_us())
+            .unwrap_or(DEFAULT_BUSY_US)
     }
 
-    fn way_us(&self, backend: &KnownBackend) -> u64 {
-        self.ways
+    fn network_us(&self, backend: &KnownBackend) -> u64 {
+        self.network_times
             .get(&backend.zone)
-            .and_then(|way| way.quantile_us(WAY_QUANTILE))
-            .unwrap_or(ASSUMED_WAY_US)
+            .and_then(|way| way.quantile_us(NETWORK_PERCENTILE))
+            .unwrap_or(DEFAULT_NETWORK_US)
     }
 
-    /// Estimates the calls at a backend server: those of others, and what this
-    /// instance has open there.
+    /// Estimates the calls at a backend server: those of other instances and
+    /// the open calls of this one.
     ///
-    /// A report of others' calls fades as its age reaches the time in which
-    /// calls are replaced by new ones; what is left is the mean of its zone.
+    /// The weight of a report decays as its age reaches the time in which calls
+    /// are replaced by new ones; the remaining weight is given to the mean of
+    /// its zone.
     pub(crate) fn load(&self, now_ms: u64, backend: &KnownBackend) -> f64 {
         let own = f64::from(backend.in_flight);
-        let Some(others) = self.recent_others(now_ms, backend) else {
-            return own + self.zone_mean_others(now_ms, backend);
+        let Some(peer_load) = self.recent_peer_load(now_ms, backend) else {
+            return own + self.zone_mean_peer_calls(now_ms, backend);
         };
         if self.settings.reports == Reports::Trusted {
-            return own + others.calls;
+            return own + peer_load.calls;
         }
-        let turnover_us = self.busy_us(backend).max(1) as f64 * REPORT_LIFE;
-        let trust = (-(others.age_us as f64) / turnover_us).exp();
-        own + trust * others.calls + (1.0 - trust) * self.zone_mean_others(now_ms, backend)
+        let decay_us = self.busy_us(backend).max(1) as f64 * REPORT_DECAY_FACTOR;
+        let report_weight = (-(peer_load.age_us as f64) / decay_us).exp();
+        own + report_weight * peer_load.calls
+            + (1.0 - report_weight) * self.zone_mean_peer_calls(now_ms, backend)
     }
 
     /// Estimates the calls that other instances have sent since the last
-    /// report: as many more, each, as this one has.
-    pub(super) fn unreported(&self, now_ms: u64, backend: &KnownBackend) -> f64 {
+    /// report, assuming that each has sent as many as this one.
+    pub(super) fn unreported_calls(&self, now_ms: u64, backend: &KnownBackend) -> f64 {
         let Some(report) = &backend.report else {
             return 0.0;
         };
         if now_ms.saturating_sub(report.measured_at_ms) > self.settings.report_max_age_ms {
             return 0.0;
         }
-        let grown = f64::from(backend.in_flight) - f64::from(report.own_in_flight);
-        grown * f64::from(self.peers)
+        let growth = f64::from(backend.in_flight) - f64::from(report.own_in_flight);
+        growth * f64::from(self.peers)
     }
 
-    fn recent_others(&self, now_ms: u64, backend: &KnownBackend) -> Option<Others> {
+    fn recent_peer_load(&self, now_ms: u64, backend: &KnownBackend) -> Option<PeerLoad> {
         let report = backend.report.as_ref()?;
         let age_ms = now_ms.saturating_sub(report.measured_at_ms);
-        (age_ms <= self.settings.report_max_age_ms).then(|| Others {
+        (age_ms <= self.settings.report_max_age_ms).then(|| PeerLoad {
             calls: f64::from(report.load.saturating_sub(report.own_in_flight)),
             age_us: age_ms * US_PER_MS,
         })
     }
 
-    /// Returns the mean of others' calls at the backend servers that share pool
-    /// and availability zone with this one.
-    fn zone_mean_others(&self, now_ms: u64, backend: &KnownBackend) -> f64 {
+    /// Returns the mean of the calls of other instances at the backend servers
+    /// in the same pool and availability zone.
+    fn zone_mean_peer_calls(&self, now_ms: u64, backend: &KnownBackend) -> f64 {
         let Some(pool) = self.pools.get(&backend.pool) else {
             return 0.0;
         };
@@ -107,9 +111,9 @@
         for index in &pool.members {
             let member = &self.backends[*index];
             if member.zone == backend.zone
-                && let Some(others) = self.recent_others(now_ms, member)
+                && let Some(peer_load) = self.recent_peer_load(now_ms, member)
             {
-                calls += others.calls;
+                calls += peer_load.calls;
                 count += 1;
             }
         }
@@ -117,9 +121,9 @@
     }
 }
 
-/// Calls of other instances at a backend server, as last reported.
+/// The calls of other instances at a backend server, as last reported.
 #[derive(Clone, Copy, Debug)]
-struct Others {
+struct PeerLoad {
     calls: f64,
     age_us: u64,
 }
--- a/crates/core/src/fleet/shares.rs
+++ b/crates/core/src/fleet/shares.rs
@@ -1,4 +1,4 @@
-//! Shares of the workspaces: weighted fairness under pressure.
+//! Weighted fair sharing among workspaces under load.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -9,29 +9,29 @@
     settings::{Fairness, PolicySettings},
 };
 
-/// Time in which what a workspace has used counts half, in ms.
+/// Half-life of the recorded usage of a workspace, in ms.
 const HALF_LIFE_MS: f64 = 4_000.0;
-/// Half-lives after which the scale of what was used is brought back to one.
-const RESCALE_AFTER: f64 = 400.0;
+/// Half-lives after which the scale of recorded usage is reset to one.
+const RESCALE_AFTER_HALF_LIVES: f64 = 400.0;
 /// Time for which a workspace counts as active after a request, in ms.
 const ACTIVE_MS: u64 = 10_000;
-/// Part of the others' shares that a workspace may use and still cause the whole
-/// wait.
+/// Fraction of the others' shares that a workspace may use without any
+/// reduction of the wait that it may cause.
 const TOLERATED_OVERUSE: f64 = 0.25;
-/// Part of the others' shares from which it may cause none, but for the part
-/// below.
-const FULL_OVERUSE: f64 = 0.4;
-/// Part of the usual wait that is left to any workspace, so that a short wait
-/// refuses nobody.
-const LEAST_WAIT_PART: f64 = 0.1;
+/// Fraction of the others' shares from which the permitted wait is at its
+/// minimum.
+const MAX_OVERUSE: f64 = 0.4;
+/// Minimum fraction of the normal wait permitted to any workspace, so that a
+/// short wait causes no refusals.
+const MIN_WAIT_FRACTION: f64 = 0.1;
 
-/// What a workspace has used.
+/// The recorded usage of a workspace.
 #[derive(Clone, Debug)]
 struct Account {
     weight: f64,
-    /// Work of the requests taken, in µs at the current scale.
+    /// Work of admitted requests, in µs at the current scale.
     used: f64,
-    taken_at_ms: u64,
+    admitted_at_ms: u64,
     is_active: bool,
 }
 
@@ -40,31 +40,33 @@
         Self {
             weight: f64::from(workspace.weight.max(1)),
             used: 0.0,
-            taken_at_ms: 0,
+            admitted_at_ms: 0,
             is_active: false,
         }
     }
 }
 
-/// Accounts of all workspaces at one instance.
+/// The accounts of all workspaces at one instance.
 ///
-/// What was used fades for all alike, so that instead of fading each account,
-/// new work is added at a scale that grows; only the ratios matter.
+/// Usage decays at the same rate for all workspaces. Instead of reducing each
+/// account, new work is added at a growing scale; only the ratios matter.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Shares {
     accounts: HashMap<WorkspaceName, Account>,
     used: f64,
-    /// Weights of the active workspaces together.
+    /// Sum of the weights of active workspaces.
     active_weight: f64,
-    /// Active workspaces, in the order in which they are looked at again.
+    /// Active workspaces with the time of their next expiry check in ms, in
+    /// that order.
     active: VecDeque<(u64, WorkspaceName)>,
     /// Time at which the scale is one, in ms.
-    scale_from_ms: u64,
+    scale_origin_ms: u64,
 }
 
 impl Shares {
-    /// Returns how much of the others' shares a workspace has used lately, from
-    /// none (0) to all (1); shares go by weight among those that are active.
+    /// Returns the fraction of the others' shares that a workspace has used
+    /// recently, from 0 to 1; shares are divided by weight among active
+    /// workspaces.
     pub(crate) fn overuse(&mut self, now_ms: u64, workspace: &WorkspaceName) -> f64 {
         self.expire(now_ms);
         let Some(own) = self.accounts.get(workspace) else {
@@ -79,15 +81,15 @@
         ((used - share) / (1.0 - share)).max(0.0)
     }
 
-    /// Counts the work of a request that was taken.
-    pub(crate) fn on_taken(&mut self, now_ms: u64, workspace: &WorkspaceName, work_us: u64) {
+    /// Records the work of an admitted request.
+    pub(crate) fn on_admitted(&mut self, now_ms: u64, workspace: &WorkspaceName, work_us: u64) {
         let scale = self.scale(now_ms);
         let Some(account) = self.accounts.get_mut(workspace) else {
             return;
         };
         let work = work_us as f64 * scale;
         account.used += work;
-        account.taken_at_ms = now_ms;
+        account.admitted_at_ms = now_ms;
         self.used += work;
         if !account.is_active {
             account.is_active = true;
@@ -98,8 +100,8 @@
     }
 
     fn scale(&mut self, now_ms: u64) -> f64 {
-        let half_lives = now_ms.saturating_sub(self.scale_from_ms) as f64 / HALF_LIFE_MS;
-        if half_lives <= RESCALE_AFTER {
+        let half_lives = now_ms.saturating_sub(self.scale_origin_ms) as f64 / HALF_LIFE_MS;
+        if half_lives <= RESCALE_AFTER_HALF_LIVES {
             return half_lives.exp2();
         }
         let shrink = (-half_lives).exp2();
@@ -107,11 +109,11 @@
             account.used *= shrink;
         }
         self.used *= shrink;
-        self.scale_from_ms = now_ms;
+        self.scale_origin_ms = now_ms;
         1.0
     }
 
-    /// Takes out the workspaces that have sent nothing for a while.
+    /// Marks workspaces as inactive that have sent no requests for a while.
     fn expire(&mut self, now_ms: u64) {
         while self.active.front().is_some_and(|(at, _)| *at <= now_ms) {
             let Some((_, name)) = self.active.pop_front() else {
@@ -120,7 +122,7 @@
             let Some(account) = self.accounts.get_mut(&name) else {
                 continue;
             };
-            let until_ms = account.taken_at_ms + ACTIVE_MS;
+            let until_ms = account.admitted_at_ms + ACTIVE_MS;
             if until_ms > now_ms {
                 self.active.push_back((until_ms, name));
             } else {
@@ -130,8 +132,8 @@
         }
     }
 
-    /// Adds the accounts up again after they have changed.
-    fn add_up(&mut self) {
+    /// Recomputes the totals after the accounts have changed.
+    fn recompute_totals(&mut self) {
         self.used = self.accounts.values().map(|account| account.used).sum();
         let active = self.accounts.values().filter(|account| account.is_active);
         self.active_weight = active.map(|account| account.weight).sum();
@@ -141,7 +143,7 @@
 }
 
 impl Fleet {
-    /// Takes over the configured workspaces.
+    /// Applies the configured workspaces.
     pub fn configure_workspaces<'a>(
         &mut self,
         workspaces: impl IntoIterator<Item = &'a Workspace>,
@@ -158,18 +160,18 @@
             };
             self.shares.accounts.insert(workspace.name.clone(), account);
         }
-        self.shares.add_up();
+        self.shares.recompute_totals();
     }
 }
 
-/// Returns the part of the usual wait in queues that a workspace may cause when
-/// it has used so much of the others' shares.
-pub(crate) fn wait_part(settings: &PolicySettings, overuse: f64) -> f64 {
+/// Returns the fraction of the normal queue wait that a workspace with the
+/// given overuse may cause.
+pub(crate) fn wait_fraction(settings: &PolicySettings, overuse: f64) -> f64 {
     match settings.fairness {
         Fairness::Off => 1.0,
         Fairness::Weighted => {
-            let part = (FULL_OVERUSE - overuse) / (FULL_OVERUSE - TOLERATED_OVERUSE);
-            part.clamp(LEAST_WAIT_PART, 1.0)
+            let fraction = (MAX_OVERUSE - overuse) / (MAX_OVERUSE - TOLERATED_OVERUSE);
+            fraction.clamp(MIN_WAIT_FRACTION, 1.0)
         }
     }
 }
