--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -1,31 +1,32 @@
-//! Which engine holds which model, from configuration and measured demand.
+//! Decides which engine holds which model, from configuration and measured
+//! demand.
 //!
-//! Each site, the engines of one pool in one availability zone, is decided by
-//! itself. A model has at least its configured replicas, and one where a
-//! pipeline uses it. Demand adds replicas when it has been high for as long as
-//! the load takes, so that a move is never started for less than it costs.
-//! Replicas that demand no longer needs stay until their place is needed.
+//! Each site, the engines of one pool in one availability zone, is decided
+//! independently. A model has at least its configured replicas, and at least
+//! one if a pipeline uses it. Demand adds a replica once it has been high for
+//! as long as loading takes, so a move never starts for a demand shorter than
+//! its cost. Replicas without demand stay until their room is needed.
 //!
-//! [`Reconciler`] is level-triggered: it compares what engines report with what
-//! is wanted and repeats orders until both match.
+//! [`Reconciler`] is level-triggered: it compares the reports of engines with
+//! the desired state and repeats orders until both match.
 
 mod assign;
 mod decision;
 mod demand;
 mod engine;
 mod layout;
-mod observed;
 mod preview;
 mod reconciler;
 mod replicas;
 mod settings;
+mod tracker;
 
 pub use self::{
     decision::{MoveKind, PlacementDecision, PlacementReason},
     engine::EngineReport,
     layout::Layout,
-    observed::OrderResult,
     preview::{PlannedMove, preview},
     reconciler::{Order, OrderKind, Reconciler, Round},
     settings::PlacementSettings,
+    tracker::OrderResult,
 };
--- a/crates/core/src/placement/decision.rs
+++ b/crates/core/src/placement/decision.rs
@@ -1,17 +1,17 @@
-//! Decisions of placement as values, for one log line each.
+//! Decisions of placement, each logged as one line.
 
 use crate::ids::{BackendName, ModelName, PoolName, ZoneName};
 
-/// What was decided.
+/// The kind of a decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum MoveKind {
-    /// An engine drops a model.
+    /// An engine unloads a model.
     Unload,
     /// An engine loads a model.
     Load,
-    /// An engine is told a new fencing number by an order that changes nothing.
+    /// An engine learns a new fencing number by an order that changes nothing.
     Fence,
-    /// A replica is wanted and no engine can take it.
+    /// A replica is needed and no engine can take it.
     Unplaced,
 }
 
@@ -27,18 +27,18 @@
     }
 }
 
-/// Why it was decided so.
+/// The reason for a decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum PlacementReason {
     /// There are fewer replicas than configured, or none of a model in use.
     TooFew,
-    /// Demand has been high for longer than the move costs.
+    /// Demand has been high for longer than the move takes.
     Demand,
-    /// The place is needed and the replica is spare.
+    /// The room is needed for another model.
     MakeRoom,
-    /// The model is not configured for the pool any more.
+    /// The model is no longer configured for the pool.
     Removed,
-    /// A new placer gives its first orders.
+    /// A new placer has begun its term.
     NewTerm,
 }
 
@@ -55,27 +55,28 @@
     }
 }
 
-/// One decision about one model.
+/// A decision about one model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacementDecision {
-    /// What was decided.
+    /// The kind of a decision.
     pub kind: MoveKind,
-    /// Why.
+    /// Reason for the decision.
     pub reason: PlacementReason,
-    /// Model that it is about.
+    /// Model concerned.
     pub model: ModelName,
-    /// Engine that it is about.
+    /// Engine concerned, if any.
     pub backend: Option<BackendName>,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: ZoneName,
-    /// Its pool.
+    /// Pool.
     pub pool: PoolName,
-    /// Replicas held or being loaded there, before the move.
+    /// Replicas held or being loaded at the site before the move.
     pub held: u32,
-    /// Replicas wanted there.
+    /// Replicas wanted at the site.
     pub wanted: u32,
-    /// Slots that the model keeps busy there, smoothed, in thousandths.
+    /// Smoothed number of slots that the model keeps busy at the site, in
+    /// thousandths.
     pub demand_milli_slots: u64,
-    /// Time for which the move keeps the weight store busy, in ms.
+    /// Time for which the move occupies the weight store, in ms.
     pub cost_ms: u64,
 }
--- a/crates/core/src/placement/demand.rs
+++ b/crates/core/src/placement/demand.rs
@@ -1,8 +1,8 @@
-//! How many slots each model keeps busy, smoothed.
+//! Estimates the number of slots that each model keeps busy, smoothed.
 //!
-//! Engines report how much they work on, not for which model. The load of an
-//! engine with several models is divided by the mix of the calls that this
-//! instance sends, a sample of the traffic.
+//! Engines report their load, but not for which model. The load of an engine
+//! with several models is divided by the mix of the calls that this instance
+//! sends, which is a sample of the traffic.
 
 use std::collections::BTreeMap;
 
@@ -11,17 +11,17 @@
     placement::engine::Engine,
 };
 
-/// Demand of each model in each availability zone.
+/// The demand of each model in each availability zone.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Demand {
-    /// Calls sent lately, by model.
+    /// Decaying count of calls sent, by model.
     mix: BTreeMap<ModelName, f64>,
     slots: BTreeMap<(ZoneName, ModelName), f64>,
     updated_at_ms: Option<u64>,
 }
 
 impl Demand {
-    pub(crate) fn note_calls(&mut self, model: &ModelName, calls: u64) {
+    pub(crate) fn record_calls(&mut self, model: &ModelName, calls: u64) {
         *self.mix.entry(model.clone()).or_insert(0.0) += calls as f64;
     }
 
@@ -31,7 +31,7 @@
         self.slots.get(&key).copied().unwrap_or(0.0)
     }
 
-    /// Returns the part of an engine's load that is due to `model`.
+    /// Returns the fraction of an engine's load that is due to `model`.
     pub(crate) fn share(&self, engine: &Engine, model: &ModelName) -> f64 {
         if !engine.models.contains(model) {
             return 0.0;
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Takes in what the engines of each zone report now.
+    /// Updates the demand from the current reports of the engines of each zone.
     pub(crate) fn update<'a>(
         &mut self,
         now_ms: u64,
@@ -74,7 +74,7 @@
         self.updated_at_ms = Some(now_ms);
     }
 
-    /// Returns the weight of what is measured now against all before.
+    /// Returns the weight of the current measurement against all earlier ones.
     fn weight(&self, now_ms: u64, smoothing_ms: u64) -> f64 {
         match self.updated_at_ms {
             None => 1.0,
--- a/crates/core/src/placement/engine.rs
+++ b/crates/core/src/placement/engine.rs
@@ -1,4 +1,4 @@
-//! An engine as placement sees it.
+//! The state of an engine for placement.
 
 use std::collections::BTreeSet;
 
@@ -7,18 +7,18 @@
     objects::Backend,
 };
 
-/// What is known of an engine, for a preview.
+/// The last report of an engine, for a preview.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineReport {
     /// Backend server.
     pub backend: BackendName,
-    /// Calls running and waiting there.
+    /// Running and queued calls.
     pub load: u32,
     /// Models loaded.
     pub models: Vec<ModelName>,
 }
 
-/// One engine that takes new work.
+/// An engine that takes new work.
 #[derive(Clone, Debug)]
 pub(crate) struct Engine {
     pub(crate) backend: BackendName,
@@ -27,14 +27,14 @@
     pub(crate) models: BTreeSet<ModelName>,
     /// Models that it was ordered to load and does not report yet.
     pub(crate) loading: BTreeSet<ModelName>,
-    /// Models that it failed to load lately.
+    /// Models that it has recently failed to load.
     pub(crate) avoid: BTreeSet<ModelName>,
     /// Whether it can be given an order now.
     pub(crate) is_orderable: bool,
 }
 
 impl Engine {
-    /// Makes an engine that holds nothing and can be given orders.
+    /// Creates an engine without models that can be given orders.
     pub(crate) fn empty(backend: &Backend) -> Self {
         Self {
             backend: backend.name.clone(),
@@ -51,19 +51,19 @@
         self.models.contains(model) || self.loading.contains(model)
     }
 
-    /// Returns how many models take up room on it.
-    pub(crate) fn occupied(&self) -> usize {
+    /// Returns the number of models that occupy room on it.
+    pub(crate) fn model_count(&self) -> usize {
         self.models.union(&self.loading).count()
     }
 
-    /// Returns its load for each slot, per mille.
+    /// Returns its load per slot, in thousandths.
     pub(crate) fn load_per_mille(&self) -> u64 {
         u64::from(self.load) * 1_000 / u64::from(self.slots.max(1))
     }
 }
 
 /// Counts the engines that report a model.
-pub(crate) fn loaded(engines: &[Engine], model: &ModelName) -> u32 {
+pub(crate) fn count_loaded(engines: &[Engine], model: &ModelName) -> u32 {
     let holders = engines.iter().filter(|x| x.models.contains(model));
     u32::try_from(holders.count()).unwrap_or(u32::MAX)
 }
--- a/crates/core/src/placement/layout.rs
+++ b/crates/core/src/placement/layout.rs
@@ -1,4 +1,4 @@
-//! The part of the configuration that placement goes by.
+//! The part of the configuration that placement depends on.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,14 +8,14 @@
     objects::{Backend, Model, Pipeline, Pool, StageKind},
 };
 
-/// Engines of one pool in one availability zone.
+/// The engines of one pool in one availability zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Site {
     pub(crate) zone: ZoneName,
     pub(crate) pool: PoolName,
 }
 
-/// A view of pools of engines, their backend servers and models.
+/// A view of the engine pools, their backend servers and models.
 #[derive(Clone, Debug, Default)]
 pub struct Layout<'a> {
     pools: BTreeMap<&'a PoolName, &'a Pool>,
@@ -25,7 +25,7 @@
 }
 
 impl<'a> Layout<'a> {
-    /// Views a configuration.
+    /// Creates a view of a configuration.
     pub fn of(state: &'a State) -> Self {
         Self::new(
             state.pools(),
@@ -35,7 +35,7 @@
         )
     }
 
-    /// Views objects; pools other than of engines are left out.
+    /// Creates a view of objects; only engine pools are included.
     pub fn new(
         pools: impl IntoIterator<Item = &'a Pool>,
         backends: impl IntoIterator<Item = &'a Backend>,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Names the backend servers that take orders.
+    /// Returns the names of the backend servers that take orders.
     pub fn engines(&self) -> impl Iterator<Item = &'a BackendName> {
         self.backends.keys().copied()
     }
@@ -91,21 +91,21 @@
         self.models().filter(move |model| model.pool == *pool)
     }
 
-    /// Tells whether a model belongs into a pool.
+    /// Returns whether a model is configured for a pool.
     pub(crate) fn has_model(&self, pool: &PoolName, model: &ModelName) -> bool {
         self.model(model).is_some_and(|model| model.pool == *pool)
     }
 
-    /// Tells whether a pipeline uses a model.
+    /// Returns whether a pipeline uses a model.
     pub(crate) fn is_in_use(&self, model: &ModelName) -> bool {
         self.in_use.contains(model)
     }
 
-    /// Returns the fewest replicas of a model among `engines` engines.
+    /// Returns the minimum replicas of a model among `engines` engines.
     pub(crate) fn floor(&self, model: &Model, engines: usize) -> u32 {
-        let least = u32::from(self.is_in_use(&model.name));
-        let most = u32::try_from(engines).unwrap_or(u32::MAX);
-        model.min_replicas.max(least).min(most)
+        let min_in_use = u32::from(self.is_in_use(&model.name));
+        let engine_count = u32::try_from(engines).unwrap_or(u32::MAX);
+        model.min_replicas.max(min_in_use).min(engine_count)
     }
 
     pub(crate) fn sites(&self) -> BTreeSet<Site> {
--- a/crates/core/src/placement/preview.rs
+++ b/crates/core/src/placement/preview.rs
@@ -1,4 +1,4 @@
-//! The moves that a change of configuration would bring.
+//! Previews the moves that a change of configuration would cause.
 
 use std::collections::BTreeSet;
 
@@ -13,23 +13,23 @@
     },
 };
 
-/// Most rounds of moves that are followed.
+/// Maximum rounds of moves that are simulated.
 const MAX_ROUNDS: usize = 256;
 
-/// A move that would follow.
+/// A move that a change of configuration would cause.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PlannedMove {
     /// Availability zone.
     pub zone: ZoneName,
     /// Pool.
     pub pool: PoolName,
-    /// What would be done.
+    /// Kind of the move.
     pub kind: MoveKind,
-    /// Model that it is about.
+    /// Model to move.
     pub model: ModelName,
-    /// Engine; none when no engine can take the replica.
+    /// Engine; `None` if no engine can take the replica.
     pub backend: Option<BackendName>,
-    /// Time for which it keeps the weight store busy, in ms.
+    /// Time for which the move occupies the weight store, in ms.
     pub cost_ms: u64,
 }
 
@@ -50,20 +50,20 @@
     }
 }
 
-/// Lists the moves that follow when the configuration becomes `after`, and would
-/// not without; engines without a report count as empty. What demand adds later
-/// is not known and not listed.
+/// Returns the moves caused by changing the configuration to `after`, without
+/// those that are due anyway. Engines without a report count as empty. Moves
+/// due to later demand cannot be predicted and are not included.
 pub fn preview(
     before: &Layout<'_>,
     after: &Layout<'_>,
     reports: &[EngineReport],
     settings: &PlacementSettings,
 ) -> Vec<PlannedMove> {
-    let owed: BTreeSet<_> = moves(before, before, reports, settings)
+    let already_due: BTreeSet<_> = moves(before, before, reports, settings)
         .into_iter()
         .collect();
     let mut moves = moves(before, after, reports, settings);
-    moves.retain(|planned| !owed.contains(planned));
+    moves.retain(|planned| !already_due.contains(planned));
     moves
 }
 
@@ -77,7 +77,7 @@
     for site in after.sites() {
         let mut engines = engines(&site, after, reports);
         moves.extend(removals(&site, before, after, &engines));
-        fill(&site, after, &mut engines, settings, &mut moves);
+        simulate_moves(&site, after, &mut engines, settings, &mut moves);
     }
     moves
 }
@@ -104,11 +104,11 @@
     after: &Layout<'_>,
     engines: &[Engine],
 ) -> Vec<PlannedMove> {
-    let goes = |model: &&ModelName| {
+    let is_removed = |model: &&ModelName| {
         before.has_model(&site.pool, model) && !after.has_model(&site.pool, model)
     };
     let pairs = engines.iter().flat_map(|engine| {
-        let models = engine.models.iter().filter(goes);
+        let models = engine.models.iter().filter(is_removed);
         models.map(|model| (engine.backend.clone(), model.clone()))
     });
     pairs
@@ -123,8 +123,8 @@
         .collect()
 }
 
-/// Follows the moves of a site until nothing is left to do.
-fn fill(
+/// Simulates the moves of a site until no more are due.
+fn simulate_moves(
     site: &Site,
     layout: &Layout<'_>,
     engines: &mut [Engine],
--- a/crates/core/src/placement/reconciler.rs
+++ b/crates/core/src/placement/reconciler.rs
@@ -1,4 +1,5 @@
-//! Compares what engines hold with what is wanted, and orders the difference.
+//! Compares the models on engines with the desired state and orders the
+//! difference.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,18 +13,18 @@
         demand::Demand,
         engine::Engine,
         layout::{Layout, Site},
-        observed::{Observed, Sight},
-        replicas::{Holds, Need},
+        replicas::{DemandPeriods, Need},
+        tracker::{EngineAvailability, EngineTracker},
     },
     placer::Permit,
 };
 
-/// What an engine is ordered to do.
+/// The kind of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum OrderKind {
     /// Load a model.
     Load,
-    /// Drop a model.
+    /// Unload a model.
     Unload,
 }
 
@@ -42,40 +43,41 @@
 pub struct Order {
     /// Fencing number.
     pub fence: u64,
-    /// Engine that is ordered.
+    /// Engine that receives the order.
     pub backend: BackendName,
-    /// Whether it checks the number.
+    /// Whether the engine checks the fencing number.
     pub fencing: Fencing,
-    /// What it is ordered to do.
+    /// Kind of the order.
     pub kind: OrderKind,
-    /// Model that it is about.
+    /// Model to load or unload.
     pub model: ModelName,
 }
 
-/// What one look at all engines led to.
+/// The result of one reconciliation round.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Round {
-    /// Orders to be sent now; the result of each is to be reported.
+    /// Orders to send now; the result of each must be passed to
+    /// [`Reconciler::on_result`].
     pub orders: Vec<Order>,
-    /// Decisions that are new, one for each order and for each replica that
-    /// no engine can take.
+    /// New decisions, one for each order and for each replica that no engine
+    /// can take.
     pub decisions: Vec<PlacementDecision>,
-    /// Moves that wait for the weight store.
+    /// Number of moves that wait for the weight store.
     pub waiting: usize,
 }
 
-/// State of placement on the instance that is the placer.
+/// The placement state machine of the instance that is the placer.
 #[derive(Clone, Debug)]
 pub struct Reconciler {
     settings: PlacementSettings,
     fence: Option<u64>,
     last_round_ms: u64,
-    engines: BTreeMap<BackendName, Observed>,
+    engines: BTreeMap<BackendName, EngineTracker>,
     demand: Demand,
-    holds: Holds,
+    demand_periods: DemandPeriods,
     unplaced: BTreeSet<(Site, ModelName)>,
-    /// Models that have been configured for a pool. What never was is left
-    /// alone: no operator has confirmed that it goes.
+    /// Models that have been configured for a pool. Models that never were are
+    /// not unloaded, because no operator has confirmed their removal.
     configured: BTreeSet<(PoolName, ModelName)>,
 }
 
@@ -88,67 +90,72 @@
             last_round_ms: 0,
             engines: BTreeMap::new(),
             demand: Demand::default(),
-            holds: Holds::default(),
+            demand_periods: DemandPeriods::default(),
             unplaced: BTreeSet::new(),
             configured: BTreeSet::new(),
         }
     }
 
-    /// Notes calls that this instance sent for a model.
+    /// Records calls that this instance sent for a model.
     pub fn note_calls(&mut self, model: &ModelName, calls: u64) {
-        self.demand.note_calls(model, calls);
+        self.demand.record_calls(model, calls);
     }
 
-    /// Takes a load report.
+    /// Applies a load report.
     pub fn on_report(&mut self, now_ms: u64, report: &LoadReport) {
-        if let Some(observed) = self.engines.get_mut(&report.server) {
-            observed.take_report(now_ms, report);
+        if let Some(tracker) = self.engines.get_mut(&report.server) {
+            tracker.on_report(now_ms, report);
         }
     }
 
-    /// Takes what became of an order.
+    /// Applies the result of an order.
     pub fn on_result(&mut self, now_ms: u64, order: &Order, result: &OrderResult) {
         if self.fence != Some(order.fence) {
             return;
         }
-        let Some(observed) = self.engines.get_mut(&order.backend) else {
+        let Some(tracker) = self.engines.get_mut(&order.backend) else {
             return;
         };
-        observed.take_result(now_ms, order.kind, &order.model, result);
+        tracker.on_result(now_ms, order.kind, &order.model, result);
         if matches!(result, OrderResult::Applied { .. }) {
-            observed.fence = Some(order.fence);
+            tracker.fence = Some(order.fence);
         }
     }
 
-    /// Decides what to order now.
+    /// Decides which orders to give now.
     pub fn round(&mut self, now_ms: u64, layout: &Layout<'_>, permit: &Permit) -> Round {
-        self.take_layout(now_ms, layout, permit);
+        self.apply_layout(now_ms, layout, permit);
         let sites = self.sites(now_ms, layout, permit);
         let seen = sites
             .iter()
             .flat_map(|(site, engines)| engines.iter().map(move |engine| (&site.zone, engine)));
         self.demand.update(now_ms, self.settings.smoothing_ms, seen);
         let mut round = Round::default();
-        self.fence_all(now_ms, layout, permit, &mut round);
+        self.order_fences(now_ms, layout, permit, &mut round);
         let mut steps = Vec::new();
         for (site, engines) in &sites {
-            let is_unsure = self.is_unsure(now_ms, site, layout);
-            let needs =
-                self.holds
-                    .needs(now_ms, site, engines, layout, &self.demand, &self.settings);
-            if is_unsure || !self.may_order(now_ms, site, layout, permit) {
+            let has_unknown_engine = self.has_unknown_engine(now_ms, site, layout);
+            let needs = self.demand_periods.needs(
+                now_ms,
+                site,
+                engines,
+                layout,
+                &self.demand,
+                &self.settings,
+            );
+            if has_unknown_engine || !self.may_order(now_ms, site, layout, permit) {
                 continue;
             }
-            let found = Assignment::new(engines, &needs, layout, &self.settings).steps();
-            self.note_unplaced(site, &found, &mut round);
-            steps.extend(found.into_iter().map(|step| (site.clone(), step)));
+            let site_steps = Assignment::new(engines, &needs, layout, &self.settings).steps();
+            self.record_unplaced(site, &site_steps, &mut round);
+            steps.extend(site_steps.into_iter().map(|step| (site.clone(), step)));
             steps.extend(self.removals(now_ms, site, engines, layout));
         }
-        self.order_all(now_ms, steps, layout, permit, &mut round);
+        self.issue_orders(now_ms, steps, layout, permit, &mut round);
         round
     }
 
-    fn take_layout(&mut self, now_ms: u64, layout: &Layout<'_>, permit: &Permit) {
+    fn apply_layout(&mut self, now_ms: u64, layout: &Layout<'_>, permit: &Permit) {
         self.engines
             .retain(|name, _| layout.backend(name).is_some());
         let models = layout.models();
@@ -156,26 +163,26 @@
             .extend(models.map(|model| (model.pool.clone(), model.name.clone())));
         for backend in layout.backends() {
             let entry = self.engines.entry(backend.name.clone());
-            entry.or_insert_with(|| Observed::new(now_ms));
+            entry.or_insert_with(|| EngineTracker::new(now_ms));
         }
         if self.fence != Some(permit.fence) {
             self.fence = Some(permit.fence);
             self.unplaced.clear();
-            for observed in self.engines.values_mut() {
-                observed.begin_term(now_ms);
+            for tracker in self.engines.values_mut() {
+                tracker.begin_term(now_ms);
             }
         }
-        let pause_ms = now_ms.saturating_sub(self.last_round_ms);
+        let since_last_round_ms = now_ms.saturating_sub(self.last_round_ms);
         self.last_round_ms = now_ms;
-        for observed in self.engines.values_mut() {
-            if pause_ms > self.settings.report_max_age_ms {
-                observed.look_again(now_ms);
+        for tracker in self.engines.values_mut() {
+            if since_last_round_ms > self.settings.report_max_age_ms {
+                tracker.restart_lost_timer(now_ms);
             }
-            observed.expire(now_ms, self.settings.avoid_ms);
+            tracker.expire(now_ms, self.settings.avoid_ms);
         }
     }
 
-    /// Collects the engines of each site that take new work.
+    /// Returns the engines of each site that take new work.
     fn sites(
         &self,
         now_ms: u64,
@@ -187,10 +194,10 @@
             sites.insert(site, Vec::new());
         }
         for backend in layout.backends() {
-            let observed = &self.engines[&backend.name];
-            if observed.sight(now_ms, &self.settings) == Sight::Serving {
+            let tracker = &self.engines[&backend.name];
+            if tracker.availability(now_ms, &self.settings) == EngineAvailability::Serving {
                 let is_orderable = self.is_fenced(backend, layout, permit);
-                let engine = observed.engine(backend, is_orderable);
+                let engine = tracker.engine(backend, is_orderable);
                 let engines = sites.entry(site_of(backend)).or_default();
                 engines.push(engine);
             }
@@ -198,22 +205,27 @@
         sites
     }
 
-    /// Tells whether an engine that checks fencing numbers knows this one; an
-    /// older placer's order might still get through to it otherwise. One that
-    /// holds nothing has nothing to lose, and no order is sure to change nothing
-    /// there: its report may be older than its last load.
+    /// Returns whether an engine can be given orders under the current fencing
+    /// number. An engine that checks numbers must know this one first, as an
+    /// order of an older placer might still reach it otherwise. An engine
+    /// without models is exempt: it has nothing to lose, and no order is
+    /// certain to change nothing there, because its report may be older than
+    /// its last load.
     fn is_fenced(&self, backend: &Backend, layout: &Layout<'_>, permit: &Permit) -> bool {
-        let observed = &self.engines[&backend.name];
+        let tracker = &self.engines[&backend.name];
         fencing(backend, layout) == Fencing::Ignored
-            || observed.fence == Some(permit.fence)
-            || observed.models().is_empty()
+            || tracker.fence == Some(permit.fence)
+            || tracker.models().is_empty()
     }
 
-    fn is_unsure(&self, now_ms: u64, site: &Site, layout: &Layout<'_>) -> bool {
+    fn has_unknown_engine(&self, now_ms: u64, site: &Site, layout: &Layout<'_>) -> bool {
         layout
             .backends()
             .filter(|backend| site_of(backend) == *site)
-            .any(|x| self.engines[&x.name].sight(now_ms, &self.settings) == Sight::Unsure)
+            .any(|x| {
+                self.engines[&x.name].availability(now_ms, &self.settings)
+                    == EngineAvailability::Unknown
+            })
     }
 
     fn may_order(&self, now_ms: u64, site: &Site, layout: &Layout<'_>, permit: &Permit) -> bool {
@@ -221,17 +233,24 @@
         pool.is_some_and(|pool| permit.allows(now_ms, pool.fencing))
     }
 
-    /// Tells each engine that checks numbers the new one by an order that
-    /// changes nothing.
-    fn fence_all(&mut self, now_ms: u64, layout: &Layout<'_>, permit: &Permit, round: &mut Round) {
+    /// Sends the new fencing number to each engine that checks it, by an order
+    /// that changes nothing.
+    fn order_fences(
+        &mut self,
+        now_ms: u64,
+        layout: &Layout<'_>,
+        permit: &Permit,
+        round: &mut Round,
+    ) {
         for backend in layout.backends() {
             let is_fenced = self.is_fenced(backend, layout, permit);
-            let observed = &self.engines[&backend.name];
-            let is_seen = observed.sight(now_ms, &self.settings) == Sight::Serving;
-            if is_fenced || !is_seen || observed.has_order {
+            let tracker = &self.engines[&backend.name];
+            let is_serving =
+                tracker.availability(now_ms, &self.settings) == EngineAvailability::Serving;
+            if is_fenced || !is_serving || tracker.has_pending_order {
                 continue;
             }
-            let Some(model) = observed.models().first().cloned() else {
+            let Some(model) = tracker.models().first().cloned() else {
                 continue;
             };
             let step = Step {
@@ -255,16 +274,16 @@
         let hold_ms = self.settings.hold_down_ms;
         let mut steps = Vec::new();
         for engine in engines.iter().filter(|engine| engine.is_orderable) {
-            let Some(observed) = self.engines.get_mut(&engine.backend) else {
+            let Some(tracker) = self.engines.get_mut(&engine.backend) else {
                 continue;
             };
             let configured = &self.configured;
-            let is_foreign = |model: &ModelName| {
+            let is_unconfigured = |model: &ModelName| {
                 !layout.has_model(&site.pool, model)
                     && configured.contains(&(site.pool.clone(), model.clone()))
             };
-            let foreign = observed.foreign(now_ms, hold_ms, is_foreign);
-            if let Some(model) = foreign.into_iter().next() {
+            let unconfigured = tracker.unconfigured(now_ms, hold_ms, is_unconfigured);
+            if let Some(model) = unconfigured.into_iter().next() {
                 let step = Step {
                     kind: MoveKind::Unload,
                     reason: PlacementReason::Removed,
@@ -278,20 +297,21 @@
         steps
     }
 
-    fn note_unplaced(&mut self, site: &Site, steps: &[Step], round: &mut Round) {
+    fn record_unplaced(&mut self, site: &Site, steps: &[Step], round: &mut Round) {
         let unplaced = steps.iter().filter(|x| x.kind == MoveKind::Unplaced);
-        let now: Vec<_> = unplaced.collect();
+        let unplaced_now: Vec<_> = unplaced.collect();
         self.unplaced
-            .retain(|(at, model)| at != site || now.iter().any(|x| x.model == *model));
-        for step in now {
+            .retain(|(at, model)| at != site || unplaced_now.iter().any(|x| x.model == *model));
+        for step in unplaced_now {
             if self.unplaced.insert((site.clone(), step.model.clone())) {
                 round.decisions.push(decision(site, step));
             }
         }
     }
 
-    /// Orders what the weight store has room for: configured replicas first.
-    fn order_all(
+    /// Issues the orders for which the weight store has capacity, configured
+    /// replicas first.
+    fn issue_orders(
         &mut self,
         now_ms: u64,
         mut steps: Vec<(Site, Step)>,
@@ -301,7 +321,7 @@
     ) {
         steps.retain(|(_, step)| step.kind != MoveKind::Unplaced);
         steps.sort_by_key(|(_, step)| (step.need.reason(), step.kind));
-        let mut loads: usize = self.engines.values().map(Observed::loads).sum();
+        let mut loads: usize = self.engines.values().map(EngineTracker::loads).sum();
         for (site, step) in steps {
             let is_load = step.reason != PlacementReason::Removed;
             if is_load && loads >= self.settings.loads_at_once {
@@ -326,23 +346,23 @@
             return;
         };
         let loads = self.settings.loads_at_once as u64;
-        let Some(observed) = self.engines.get_mut(&backend.name) else {
+        let Some(tracker) = self.engines.get_mut(&backend.name) else {
             return;
         };
         let kind = match step.kind {
             MoveKind::Load => OrderKind::Load,
             MoveKind::Unload => OrderKind::Unload,
-            // It is held already.
+            // The engine already holds the model.
             MoveKind::Fence => OrderKind::Load,
             MoveKind::Unplaced => return,
         };
-        if observed.has_order {
+        if tracker.has_pending_order {
             return;
         }
-        observed.has_order = true;
+        tracker.has_pending_order = true;
         if step.kind == MoveKind::Load {
             let cost_ms = step.need.cost_ms * loads + self.settings.load_grace_ms;
-            observed.note_loading(now_ms, &step.model, now_ms + cost_ms);
+            tracker.on_load_ordered(now_ms, &step.model, now_ms + cost_ms);
         }
         round.decisions.push(decision(site, step));
         round.orders.push(Order {
--- a/crates/core/src/placement/replicas.rs
+++ b/crates/core/src/placement/replicas.rs
@@ -1,4 +1,5 @@
-//! How many replicas of each model a site needs, with hysteresis.
+//! Determines the number of replicas of each model that a site needs, with
+//! hysteresis.
 
 use std::collections::BTreeMap;
 
@@ -13,24 +14,24 @@
     },
 };
 
-/// Replicas of a model that a site needs.
+/// The need of a site for replicas of a model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Need {
     pub(crate) model: ModelName,
-    /// Fewest replicas, whatever the demand.
+    /// Minimum replicas, regardless of demand.
     pub(crate) floor: u32,
     /// Replicas held or being loaded.
     pub(crate) held: u32,
     /// Replicas wanted.
     pub(crate) wanted: u32,
-    /// Replicas that demand has not needed for long.
+    /// Replicas that demand has not needed for the hold time.
     pub(crate) spare: u32,
     pub(crate) demand_milli_slots: u64,
     pub(crate) cost_ms: u64,
 }
 
 impl Need {
-    /// Makes the need of a model that is not looked at.
+    /// Creates the need of a step that does not depend on replica counts.
     pub(crate) fn none(model: &ModelName) -> Self {
         Self {
             model: model.clone(),
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Returns why more replicas are wanted.
+    /// Returns the reason why more replicas are wanted.
     pub(crate) fn reason(&self) -> PlacementReason {
         if self.held < self.floor {
             PlacementReason::TooFew
@@ -53,33 +54,34 @@
     }
 }
 
-/// Since when demand has been on one side of a threshold, with how many replicas.
+/// A period during which demand has been on one side of a threshold with a
+/// constant number of replicas.
 #[derive(Clone, Copy, Debug)]
-struct Since {
+struct Period {
     at_ms: u64,
     held: u32,
 }
 
-type Spans = BTreeMap<(ZoneName, ModelName), Since>;
+type Periods = BTreeMap<(ZoneName, ModelName), Period>;
 
-/// Remembers since when demand has been high or low.
+/// Tracks since when demand has been high or low.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Holds {
-    high: Spans,
-    low: Spans,
+pub(crate) struct DemandPeriods {
+    high: Periods,
+    low: Periods,
 }
 
-/// What demand is measured against.
+/// The demand for a model and the capacity that it is compared with.
 struct Usage {
     demand: f64,
-    /// Slots of the replicas, less what other models use of them.
+    /// Slots of the replicas, minus the share used by other models.
     capacity: f64,
-    /// Slots of an average engine of the site.
+    /// Mean slots of the engines of the site.
     engine: f64,
 }
 
-impl Holds {
-    /// Returns what each model of a site needs.
+impl DemandPeriods {
+    /// Returns the need for each model of a site.
     pub(crate) fn needs(
         &mut self,
         now_ms: u64,
@@ -95,14 +97,14 @@
                 let usage = usage(site, model, engines, demand);
                 let mut need = floor_need(model, engines, layout, settings);
                 need.demand_milli_slots = (usage.demand * 1_000.0) as u64;
-                self.by_demand(now_ms, site, model, &usage, &mut need, settings);
+                self.apply_demand(now_ms, site, model, &usage, &mut need, settings);
                 need.wanted = need.wanted.min(engines.len() as u32);
                 need
             })
             .collect()
     }
 
-    fn by_demand(
+    fn apply_demand(
         &mut self,
         now_ms: u64,
         site: &Site,
@@ -118,8 +120,8 @@
         let is_high = usage.exceeds(0.0, settings.up_per_mille);
         let is_low =
             need.held > need.floor && !usage.exceeds(usage.engine, settings.down_per_mille);
-        let high_ms = lasted(&mut self.high, now_ms, &key, need.held, is_high);
-        let low_ms = lasted(&mut self.low, now_ms, &key, need.held, is_low);
+        let high_ms = period_ms(&mut self.high, now_ms, &key, need.held, is_high);
+        let low_ms = period_ms(&mut self.low, now_ms, &key, need.held, is_low);
         if high_ms.is_some_and(|ms| ms >= settings.up_after_ms(model.size_mb)) {
             need.wanted = need.held + 1;
         }
@@ -130,14 +132,14 @@
 }
 
 impl Usage {
-    /// Tells whether demand is over a share of the slots, less `without`.
+    /// Returns whether demand exceeds a share of the capacity minus `without`.
     fn exceeds(&self, without: f64, per_mille: u32) -> bool {
         let slots = (self.capacity - without).max(0.0);
         self.demand * 1_000.0 > slots * f64::from(per_mille)
     }
 }
 
-/// Returns what a model needs by configuration alone.
+/// Returns the need for a model by configuration alone.
 pub(crate) fn floor_need(
     model: &Model,
     engines: &[Engine],
@@ -158,7 +160,7 @@
 }
 
 fn usage(site: &Site, model: &Model, engines: &[Engine], demand: &Demand) -> Usage {
-    let room = |engine: &Engine| {
+    let free_slots = |engine: &Engine| {
         let own = demand.share(engine, &model.name);
         let others = f64::from(engine.load) * (1.0 - own);
         (f64::from(engine.slots) - others).max(0.0)
@@ -167,30 +169,31 @@
     let slots: f64 = engines.iter().map(|engine| f64::from(engine.slots)).sum();
     Usage {
         demand: demand.slots(&site.zone, &model.name),
-        capacity: holders.map(room).sum(),
+        capacity: holders.map(free_slots).sum(),
         engine: slots / engines.len().max(1) as f64,
     }
 }
 
-/// Returns how long a condition has lasted with the same number of replicas.
-fn lasted(
-    spans: &mut Spans,
+/// Returns for how long a condition has held with the same number of replicas,
+/// in ms.
+fn period_ms(
+    periods: &mut Periods,
     now_ms: u64,
     key: &(ZoneName, ModelName),
     held: u32,
-    is_so: bool,
+    is_met: bool,
 ) -> Option<u64> {
-    if !is_so {
-        spans.remove(key);
+    if !is_met {
+        periods.remove(key);
         return None;
     }
-    let start = Since {
+    let start = Period {
         at_ms: now_ms,
         held,
     };
-    let since = spans.entry(key.clone()).or_insert(start);
-    if since.held != held {
-        *since = start;
+    let period = periods.entry(key.clone()).or_insert(start);
+    if period.held != held {
+        *period = start;
     }
-    Some(now_ms.saturating_sub(since.at_ms))
+    Some(now_ms.saturating_sub(period.at_ms))
 }
--- a/crates/core/src/placement/settings.rs
+++ b/crates/core/src/placement/settings.rs
@@ -1,33 +1,35 @@
-//! Settings of placement.
+//! Placement settings.
 
-/// Tunes when models are moved.
+/// Parameters of the placement of models.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlacementSettings {
-    /// Rate of the weight store, in MB a second.
+    /// Throughput of the weight store, in MB per second.
     pub store_mb_per_s: u64,
-    /// Loads that may be under way at the same time, over all zones.
+    /// Maximum concurrent loads over all zones.
     pub loads_at_once: usize,
-    /// Models that one engine holds at most.
+    /// Maximum models on one engine.
     pub models_per_engine: usize,
-    /// Busy share of a model's slots above which it gets a replica, per mille.
+    /// Busy share of a model's slots above which a replica is added, in
+    /// thousandths.
     pub up_per_mille: u32,
-    /// Busy share, without one of the replicas, below which that one is spare,
-    /// per mille.
+    /// Busy share of the slots without one replica below which that replica is
+    /// spare, in thousandths.
     pub down_per_mille: u32,
-    /// Least time of high demand before a replica is added, in ms.
+    /// Minimum time of high demand before a replica is added, in ms.
     pub hold_up_ms: u64,
-    /// Least time of low demand before a replica is spare, in ms.
+    /// Minimum time of low demand before a replica is spare, in ms.
     pub hold_down_ms: u64,
-    /// Time constant with which demand is smoothed, in ms.
+    /// Time constant of the smoothing of demand, in ms.
     pub smoothing_ms: u64,
-    /// Age from which a report no longer shows an engine's state, in ms.
+    /// Age beyond which a report no longer shows the state of an engine, in ms.
     pub report_max_age_ms: u64,
     /// Time without a report after which an engine counts as lost, in ms.
     pub lost_after_ms: u64,
-    /// Time that a load may take beyond its share of the store, in ms.
+    /// Time that a load may take beyond its share of the store throughput, in
+    /// ms.
     pub load_grace_ms: u64,
-    /// Time for which an engine that did not load a model is not asked to
-    /// again while another can be, in ms.
+    /// Time for which an engine that failed to load a model is not ordered to
+    /// load it again, in ms.
     pub avoid_ms: u64,
 }
 
@@ -51,20 +53,20 @@
 }
 
 impl PlacementSettings {
-    /// Returns how long the store is busy with a model when nothing else is
+    /// Returns how long the store takes for a model when nothing else is
     /// loaded, in ms: the cost of a move.
     pub fn load_ms(&self, size_mb: u64) -> u64 {
         size_mb.saturating_mul(1_000) / self.store_mb_per_s.max(1)
     }
 
-    /// Returns how long high demand has to last, in ms: never less than the
-    /// move costs.
+    /// Returns how long high demand has to last, in ms: at least as long as the
+    /// move takes.
     pub(crate) fn up_after_ms(&self, size_mb: u64) -> u64 {
         self.hold_up_ms.max(self.load_ms(size_mb))
     }
 
-    /// Returns how long low demand has to last, in ms: never less than an
-    /// unload and a load back would cost.
+    /// Returns how long low demand has to last, in ms: at least as long as an
+    /// unload and a reload would take.
     pub(crate) fn down_after_ms(&self, size_mb: u64) -> u64 {
         self.hold_down_ms.max(2 * self.load_ms(size_mb))
     }
--- a/crates/core/src/placement/observed.rs
+++ b/crates/core/src/placement/tracker.rs
@@ -1,4 +1,4 @@
-//! What engines report and what they were ordered.
+//! Tracks the reports of engines and the orders given to them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,25 +9,26 @@
     placement::{OrderKind, PlacementSettings, engine::Engine},
 };
 
-/// Time after which a load whose order was not answered is ordered again, in ms.
-const REPEAT_MS: u64 = 5_000;
+/// Time after which a load is ordered again if its order got no response, in
+/// ms.
+const REORDER_MS: u64 = 5_000;
 
-/// What became of an order.
+/// The result of an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderResult {
-    /// The engine took it.
+    /// The engine applied it.
     Applied {
-        /// Models loaded after it.
+        /// Models loaded afterwards.
         models: Vec<ModelName>,
     },
     /// The engine has seen a higher fencing number.
     Fenced {
-        /// Number that it has seen.
+        /// Number that the engine has seen.
         highest_fence: u64,
     },
-    /// It was not sent.
+    /// The order was not sent.
     NotSent,
-    /// It may have taken effect.
+    /// The order was sent without a response and may have taken effect.
     Unanswered,
 }
 
@@ -47,16 +48,16 @@
 struct Loading {
     ordered_at_ms: u64,
     due_ms: u64,
-    /// Whether the order was answered, as far as is known yet.
-    is_taken: bool,
+    /// Cleared when the order ends without a response.
+    is_acknowledged: bool,
 }
 
-/// One engine over time.
+/// The tracked state of one engine.
 #[derive(Clone, Debug)]
-pub(crate) struct Observed {
+pub(crate) struct EngineTracker {
     known_since_ms: u64,
     measured_at_ms: Option<u64>,
-    /// Time that `models` describes.
+    /// Time at which `models` was valid.
     models_at_ms: Option<u64>,
     is_leaving: bool,
     slots: u32,
@@ -65,13 +66,13 @@
     loading: BTreeMap<ModelName, Loading>,
     avoid: BTreeMap<ModelName, u64>,
     /// Since when it has held models that are not configured for its pool.
-    foreign_since_ms: BTreeMap<ModelName, u64>,
-    /// Fencing number that it has shown to know.
+    unconfigured_since_ms: BTreeMap<ModelName, u64>,
+    /// Fencing number of the last order that it applied.
     pub(crate) fence: Option<u64>,
-    pub(crate) has_order: bool,
+    pub(crate) has_pending_order: bool,
 }
 
-impl Observed {
+impl EngineTracker {
     pub(crate) fn new(now_ms: u64) -> Self {
         Self {
             known_since_ms: now_ms,
@@ -83,28 +84,28 @@
             models: BTreeSet::new(),
             loading: BTreeMap::new(),
             avoid: BTreeMap::new(),
-            foreign_since_ms: BTreeMap::new(),
+            unconfigured_since_ms: BTreeMap::new(),
             fence: None,
-            has_order: false,
+            has_pending_order: false,
         }
     }
 
-    /// Begins to look at it anew: it counts as lost only some time from now.
-    pub(crate) fn look_again(&mut self, now_ms: u64) {
+    /// Restarts the time after which it counts as lost.
+    pub(crate) fn restart_lost_timer(&mut self, now_ms: u64) {
         self.known_since_ms = now_ms;
     }
 
-    /// Forgets what an earlier placer's term was about.
+    /// Clears the state of an earlier placer's term.
     pub(crate) fn begin_term(&mut self, now_ms: u64) {
-        self.look_again(now_ms);
+        self.restart_lost_timer(now_ms);
         self.measured_at_ms = None;
         self.loading.clear();
         self.avoid.clear();
         self.fence = None;
-        self.has_order = false;
+        self.has_pending_order = false;
     }
 
-    pub(crate) fn take_report(&mut self, now_ms: u64, report: &LoadReport) {
+    pub(crate) fn on_report(&mut self, now_ms: u64, report: &LoadReport) {
         let measured_at_ms = now_ms.saturating_sub(report.age_ms);
         if self.measured_at_ms.is_some_and(|at| at > measured_at_ms) {
             return;
@@ -113,37 +114,38 @@
         self.is_leaving = report.state == ServingState::Leaving;
         self.slots = report.slots.max(1);
         self.load = report.running + report.queued;
-        // An order's answer is newer than a report that was measured before it.
+        // The response to an order is newer than a report measured before it.
         if self.models_at_ms.is_none_or(|at_ms| measured_at_ms > at_ms) {
-            self.take_models(measured_at_ms, &report.models);
+            self.set_models(measured_at_ms, &report.models);
         }
     }
 
-    pub(crate) fn take_result(
+    pub(crate) fn on_result(
         &mut self,
         now_ms: u64,
         kind: OrderKind,
         model: &ModelName,
         result: &OrderResult,
     ) {
-        self.has_order = false;
+        self.has_pending_order = false;
         match result {
-            OrderResult::Applied { models } => self.take_models(now_ms, models),
+            OrderResult::Applied { models } => self.set_models(now_ms, models),
             OrderResult::NotSent | OrderResult::Fenced { .. } => {
                 self.loading.remove(model);
             }
             OrderResult::Unanswered if kind == OrderKind::Load => {
-                // It is asked again unless the engine soon shows the model.
+                // The load is ordered again unless the engine soon reports the
+                // model.
                 if let Some(loading) = self.loading.get_mut(model) {
-                    loading.due_ms = loading.due_ms.min(now_ms + REPEAT_MS);
-                    loading.is_taken = false;
+                    loading.due_ms = loading.due_ms.min(now_ms + REORDER_MS);
+                    loading.is_acknowledged = false;
                 }
             }
             OrderResult::Unanswered => {}
         }
     }
 
-    fn take_models(&mut self, at_ms: u64, models: &[ModelName]) {
+    fn set_models(&mut self, at_ms: u64, models: &[ModelName]) {
         self.models_at_ms = Some(at_ms);
         self.models = models.iter().cloned().collect();
         let models = &self.models;
@@ -151,27 +153,27 @@
         self.avoid.retain(|model, _| !models.contains(model));
     }
 
-    pub(crate) fn note_loading(&mut self, now_ms: u64, model: &ModelName, due_ms: u64) {
+    pub(crate) fn on_load_ordered(&mut self, now_ms: u64, model: &ModelName, due_ms: u64) {
         let loading = Loading {
             ordered_at_ms: now_ms,
             due_ms,
-            is_taken: true,
+            is_acknowledged: true,
         };
         self.loading.insert(model.clone(), loading);
     }
 
-    /// Drops loads that are overdue; they are decided anew. Only a report from
-    /// after the order shows that the model is not there.
+    /// Removes overdue loads, so that they are decided again. Only a report
+    /// measured after the order shows that the model was not loaded.
     pub(crate) fn expire(&mut self, now_ms: u64, avoid_ms: u64) {
         let measured_at_ms = self.measured_at_ms.unwrap_or_default();
-        let is_over =
+        let is_expired =
             |loading: &Loading| now_ms >= loading.due_ms && measured_at_ms > loading.ordered_at_ms;
         for (model, loading) in &self.loading {
-            if is_over(loading) && loading.is_taken {
+            if is_expired(loading) && loading.is_acknowledged {
                 self.avoid.insert(model.clone(), now_ms + avoid_ms);
             }
         }
-        self.loading.retain(|_, loading| !is_over(loading));
+        self.loading.retain(|_, loading| !is_expired(loading));
         self.avoid.retain(|_, until_ms| *until_ms > now_ms);
     }
 
@@ -183,40 +185,46 @@
         &self.models
     }
 
-    /// Returns the models that have been foreign to the pool for `hold_ms`.
-    pub(crate) fn foreign(
+    /// Returns the models that have not been configured for the pool for
+    /// `hold_ms`.
+    pub(crate) fn unconfigured(
         &mut self,
         now_ms: u64,
         hold_ms: u64,
-        is_foreign: impl Fn(&ModelName) -> bool,
+        is_unconfigured: impl Fn(&ModelName) -> bool,
     ) -> Vec<ModelName> {
-        let models = self.models.iter().filter(|model| is_foreign(model));
-        let foreign: BTreeSet<_> = models.cloned().collect();
-        self.foreign_since_ms.retain(|x, _| foreign.contains(x));
-        for model in foreign {
-            self.foreign_since_ms.entry(model).or_insert(now_ms);
+        let models = self.models.iter().filter(|model| is_unconfigured(model));
+        let unconfigured: BTreeSet<_> = models.cloned().collect();
+        self.unconfigured_since_ms
+            .retain(|x, _| unconfigured.contains(x));
+        for model in unconfigured {
+            self.unconfigured_since_ms.entry(model).or_insert(now_ms);
         }
-        let since = self.foreign_since_ms.iter();
+        let since = self.unconfigured_since_ms.iter();
         since
             .filter(|(_, since_ms)| now_ms.saturating_sub(**since_ms) >= hold_ms)
             .map(|(model, _)| model.clone())
             .collect()
     }
 
-    pub(crate) fn sight(&self, now_ms: u64, settings: &PlacementSettings) -> Sight {
+    pub(crate) fn availability(
+        &self,
+        now_ms: u64,
+        settings: &PlacementSettings,
+    ) -> EngineAvailability {
         let age_ms = |at_ms: u64| now_ms.saturating_sub(at_ms);
-        let heard_ms = self.measured_at_ms;
-        if heard_ms.is_some_and(|at_ms| age_ms(at_ms) <= settings.report_max_age_ms) {
+        let measured_at_ms = self.measured_at_ms;
+        if measured_at_ms.is_some_and(|at_ms| age_ms(at_ms) <= settings.report_max_age_ms) {
             return match self.is_leaving {
-                true => Sight::Away,
-                false => Sight::Serving,
+                true => EngineAvailability::Unavailable,
+                false => EngineAvailability::Serving,
             };
         }
-        let since_ms = heard_ms.unwrap_or_default().max(self.known_since_ms);
+        let since_ms = measured_at_ms.unwrap_or_default().max(self.known_since_ms);
         if age_ms(since_ms) < settings.lost_after_ms {
-            Sight::Unsure
+            EngineAvailability::Unknown
         } else {
-            Sight::Away
+            EngineAvailability::Unavailable
         }
     }
 
@@ -228,18 +236,18 @@
             models: self.models.clone(),
             loading: self.loading.keys().cloned().collect(),
             avoid: self.avoid.keys().cloned().collect(),
-            is_orderable: is_orderable && !self.has_order,
+            is_orderable: is_orderable && !self.has_pending_order,
         }
     }
 }
 
-/// Whether an engine counts.
+/// Whether an engine takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Sight {
+pub(crate) enum EngineAvailability {
     /// It takes new work, and its report is recent.
     Serving,
-    /// Its state is not known; its site is left as it is.
-    Unsure,
+    /// Its state is unknown; its site is not changed.
+    Unknown,
     /// It is leaving or lost.
-    Away,
+    Unavailable,
 }
