--- a/crates/core/src/placement/decision.rs
+++ b/crates/core/src/placement/decision.rs
@@ -58,7 +58,7 @@
 /// A decision about one model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacementDecision {
-    /// The kind of a decision.
+    /// Kind of the decision.
     pub kind: MoveKind,
     /// Reason for the decision.
     pub reason: PlacementReason,
--- a/crates/core/src/placement/replicas.rs
+++ b/crates/core/src/placement/replicas.rs
@@ -58,7 +58,7 @@
 /// constant number of replicas.
 #[derive(Clone, Copy, Debug)]
 struct Period {
-    at_ms: u64,
+    start_ms: u64,
     held: u32,
 }
 
@@ -77,7 +77,7 @@
     /// Slots of the replicas, minus the share used by other models.
     capacity: f64,
     /// Mean slots of the engines of the site.
-    engine: f64,
+    mean_engine_slots: f64,
 }
 
 impl DemandPeriods {
@@ -118,8 +118,8 @@
         }
         let key = (site.zone.clone(), model.name.clone());
         let is_high = usage.exceeds(0.0, settings.up_per_mille);
-        let is_low =
-            need.held > need.floor && !usage.exceeds(usage.engine, settings.down_per_mille);
+        let is_low = need.held > need.floor
+            && !usage.exceeds(usage.mean_engine_slots, settings.down_per_mille);
         let high_ms = period_ms(&mut self.high, now_ms, &key, need.held, is_high);
         let low_ms = period_ms(&mut self.low, now_ms, &key, need.held, is_low);
         if high_ms.is_some_and(|ms| ms >= settings.up_after_ms(model.size_mb)) {
@@ -132,9 +132,10 @@
 }
 
 impl Usage {
-    /// Returns whether demand exceeds a share of the capacity minus `without`.
-    fn exceeds(&self, without: f64, per_mille: u32) -> bool {
-        let slots = (self.capacity - without).max(0.0);
+    /// Returns whether demand exceeds a share of the capacity minus
+    /// `excluded_slots`.
+    fn exceeds(&self, excluded_slots: f64, per_mille: u32) -> bool {
+        let slots = (self.capacity - excluded_slots).max(0.0);
         self.demand * 1_000.0 > slots * f64::from(per_mille)
     }
 }
@@ -170,7 +171,7 @@
     Usage {
         demand: demand.slots(&site.zone, &model.name),
         capacity: holders.map(free_slots).sum(),
-        engine: slots / engines.len().max(1) as f64,
+        mean_engine_slots: slots / engines.len().max(1) as f64,
     }
 }
 
@@ -188,12 +189,12 @@
         return None;
     }
     let start = Period {
-        at_ms: now_ms,
+        start_ms: now_ms,
         held,
     };
     let period = periods.entry(key.clone()).or_insert(start);
     if period.held != held {
         *period = start;
     }
-    Some(now_ms.saturating_sub(period.at_ms))
+    Some(now_ms.saturating_sub(period.start_ms))
 }
--- a/crates/core/src/placement/tracker.rs
+++ b/crates/core/src/placement/tracker.rs
@@ -55,7 +55,7 @@
 /// The tracked state of one engine.
 #[derive(Clone, Debug)]
 pub(crate) struct EngineTracker {
-    known_since_ms: u64,
+    lost_timer_start_ms: u64,
     measured_at_ms: Option<u64>,
     /// Time at which `models` was valid.
     models_at_ms: Option<u64>,
@@ -75,7 +75,7 @@
 impl EngineTracker {
     pub(crate) fn new(now_ms: u64) -> Self {
         Self {
-            known_since_ms: now_ms,
+            lost_timer_start_ms: now_ms,
             measured_at_ms: None,
             models_at_ms: None,
             is_leaving: false,
@@ -92,7 +92,7 @@
 
     /// Restarts the time after which it counts as lost.
     pub(crate) fn restart_lost_timer(&mut self, now_ms: u64) {
-        self.known_since_ms = now_ms;
+        self.lost_timer_start_ms = now_ms;
     }
 
     /// Clears the state of an earlier placer's term.
@@ -220,7 +220,9 @@
                 false => EngineAvailability::Serving,
             };
         }
-        let since_ms = measured_at_ms.unwrap_or_default().max(self.known_since_ms);
+        let since_ms = measured_at_ms
+            .unwrap_or_default()
+            .max(self.lost_timer_start_ms);
         if age_ms(since_ms) < settings.lost_after_ms {
             EngineAvailability::Unknown
         } else {
--- a/crates/core/src/placer.rs
+++ b/crates/core/src/placer.rs
@@ -1,17 +1,19 @@
-//! Who gives orders to engines: one placer at a time, elected on the log.
+//! Elects the placer: the one instance that gives orders to engines, by records
+//! on the log.
 //!
-//! The stream `placer` carries claims, renewals and resignations. A claim names
-//! the offset that it expects to get and is valid only there, so that of several
-//! claims made after the same record one wins, and every reader can tell which
-//! from the record alone. The holder is the newest valid claim; its offset is
-//! the fencing number of every order.
+//! The stream `placer` carries claims, renewals and resignations. A claim
+//! states the offset that it expects to get and is valid only at that offset.
+//! Of several claims appended after the same record exactly one is therefore
+//! valid, and every reader can tell which one from the record alone. The holder
+//! is the writer of the newest valid claim; the offset of that claim is the
+//! fencing number of every order.
 //!
-//! Any instance may claim when the holder has been silent for
-//! [`PlacerSettings::silence_ms`]. A holder that was paused may wake and find
-//! itself replaced: it checks before each order that its last renewal that was
-//! read back is recent by its own clock, which narrows the window between check
-//! and order and does not close it. Engines that check the number refuse what
-//! comes through; for the others see `docs/PLACEMENT.md`.
+//! Any candidate may claim when the holder has been silent for
+//! [`PlacerSettings::silence_ms`]. A holder that was paused may resume after it
+//! has been replaced. Before each order it checks by its own clock that its
+//! last renewal that was read back is recent; this narrows the window between
+//! check and order but does not close it. Engines that check the fencing number
+//! refuse late orders; for the others see `docs/PLACEMENT.md`.
 
 use std::collections::VecDeque;
 
@@ -26,7 +28,7 @@
 mod settings;
 
 pub use self::{
-    election::{Election, Heard, Holder},
+    election::{Election, Holder, RecordEffect},
     event::{Action, Event, Permit, Received, Standing},
     record::PlacerRecord,
     settings::PlacerSettings,
@@ -36,16 +38,17 @@
 pub const TICK_MS: u64 = 100;
 /// Time for which a read of the stream waits for a record, in ms.
 pub const READ_WAIT_MS: u64 = 1_000;
-/// Age from which the last read no longer shows where the stream's head is, in ms.
-const HEAD_FRESH_MS: u64 = 3_000;
-/// Records before the head from which on a new reader starts.
-const START_BEFORE_HEAD: u64 = 64;
-/// Rank from which on all wait equally long.
-const LAST_RANK: u64 = 8;
-/// Own appends whose start is remembered until they are read back.
-const REMEMBERED_APPENDS: usize = 8;
+/// Age beyond which the last read no longer shows the head of the stream, in
+/// ms.
+const HEAD_MAX_AGE_MS: u64 = 3_000;
+/// Number of records before the head at which a new reader starts.
+const START_RECORDS_BEFORE_HEAD: u64 = 64;
+/// Highest rank with a longer delay than the one before.
+const MAX_DELAY_RANK: u64 = 8;
+/// Maximum own appends whose start time is stored until they are read back.
+const MAX_PENDING_APPENDS: usize = 8;
 
-/// Part of one instance in the election of the placer.
+/// The state machine of one instance in the election of the placer.
 #[derive(Debug)]
 pub struct Placer {
     instance: InstanceName,
@@ -55,27 +58,28 @@
     standing: Standing,
     election: Election,
     /// Next offset to read.
-    next: Offset,
-    /// Whether a read was answered yet.
+    next_offset: Offset,
+    /// Whether a read has completed.
     has_read: bool,
     is_reading: bool,
     is_leaving: bool,
     last_read_ms: Option<u64>,
-    /// Since when nothing valid was read, while reads were answered.
+    /// Start of the current period of successful reads without a valid record,
+    /// in ms.
     silent_since_ms: u64,
     jitter_ms: u64,
     is_appending: bool,
     seq: u64,
-    /// Own appends: number and time before the append was handed over.
+    /// Own appends: sequence number and start time in ms.
     appends: VecDeque<(u64, u64)>,
     last_append_ms: Option<u64>,
-    /// Start of the newest own append that was read back as valid.
-    confirmed_at_ms: Option<u64>,
+    /// Start time of the newest own append that was read back as valid, in ms.
+    confirmed_start_ms: Option<u64>,
     unfenced_from_ms: u64,
 }
 
 impl Placer {
-    /// Creates the part of a run of an instance; `seed` drives its jitter.
+    /// Creates the state of a run of an instance; `seed` drives its jitter.
     pub fn new(
         instance: InstanceName,
         incarnation: Incarnation,
@@ -89,7 +93,7 @@
             rng: Pcg64Mcg::seed_from_u64(seed),
             standing: Standing::Bystander,
             election: Election::default(),
-            next: Offset::default(),
+            next_offset: Offset::default(),
             has_read: false,
             is_reading: false,
             is_leaving: false,
@@ -100,29 +104,30 @@
             seq: 0,
             appends: VecDeque::new(),
             last_append_ms: None,
-            confirmed_at_ms: None,
+            confirmed_start_ms: None,
             unfenced_from_ms: 0,
         };
         placer.draw_jitter();
         placer
     }
 
-    /// Returns the holder as far as the stream was read.
+    /// Returns the holder by the records read so far.
     pub fn holder(&self) -> Option<&Holder> {
         self.election.holder()
     }
 
-    /// Returns the own term while this instance is the placer by what it read.
+    /// Returns the own term if this instance is the placer by the records read
+    /// so far.
     pub fn own_term(&self) -> Option<Offset> {
         let holder = self.election.holder()?;
         (holder.incarnation == self.incarnation).then_some(holder.term)
     }
 
-    /// Returns the leave to give orders, if this instance has it now. To be
-    /// asked directly before each order.
+    /// Returns the permit to give orders, if this instance has one now. Must be
+    /// checked directly before each order.
     pub fn permit(&self, now_ms: u64) -> Option<Permit> {
         let term = self.own_term().filter(|_| !self.is_leaving)?;
-        let expires_at_ms = self.confirmed_at_ms? + self.settings.order_window_ms();
+        let expires_at_ms = self.confirmed_start_ms? + self.settings.order_window_ms();
         (now_ms < expires_at_ms).then_some(Permit {
             fence: term.0,
             expires_at_ms,
@@ -130,25 +135,25 @@
         })
     }
 
-    /// Takes an event and returns what has to be done.
+    /// Handles an event and returns the resulting actions.
     pub fn on_event(&mut self, now_ms: u64, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
             Event::Tick => {}
             Event::Standing(standing) => self.set_standing(now_ms, standing),
             Event::Read { next, records } => {
-                actions.extend(self.take_read(now_ms, next, &records));
+                actions.extend(self.on_read(now_ms, next, &records));
             }
             Event::Trimmed { first } => {
                 self.is_reading = false;
-                self.next = self.next.max(first);
+                self.next_offset = self.next_offset.max(first);
             }
             Event::ReadFailed => {
                 self.is_reading = false;
                 self.last_read_ms = None;
             }
             Event::AppendEnded => self.is_appending = false,
-            Event::Fenced { highest } => self.take_fenced(highest),
+            Event::Fenced { highest } => self.on_fenced(highest),
             Event::Leave => self.is_leaving = true,
         }
         actions.extend(self.next_read());
@@ -164,28 +169,33 @@
         self.standing = standing;
     }
 
-    fn follows(&self) -> bool {
+    fn reads_stream(&self) -> bool {
         self.standing != Standing::Bystander || self.own_term().is_some()
     }
 
     fn next_read(&mut self) -> Option<Action> {
-        if self.is_reading || !self.follows() {
+        if self.is_reading || !self.reads_stream() {
             return None;
         }
         self.is_reading = true;
         let wait_ms = if self.has_read { READ_WAIT_MS } else { 0 };
         Some(Action::Read {
-            from: self.next,
+            from: self.next_offset,
             wait_ms,
         })
     }
 
-    fn take_read(&mut self, now_ms: u64, head: Offset, records: &[Received]) -> Vec<Action> {
+    fn on_read(
+        &mut self,
+        now_ms: u64,
+        next_append_offset: Offset,
+        records: &[Received],
+    ) -> Vec<Action> {
         self.is_reading = false;
-        let mut from = self.next;
+        let mut from = self.next_offset;
         if !self.has_read {
             self.has_read = true;
-            from = from.max(start_offset(head));
+            from = from.max(start_offset(next_append_offset));
         }
         let before = self.election.holder().cloned();
         for received in records {
@@ -193,14 +203,15 @@
                 continue;
             }
             from = received.offset.next();
-            self.take_record(now_ms, received);
+            self.on_record(now_ms, received);
         }
-        let was_away = self.last_read_ms.is_none();
-        self.next = from;
-        if from >= head {
+        let was_disconnected = self.last_read_ms.is_none();
+        self.next_offset = from;
+        if from >= next_append_offset {
             self.last_read_ms = Some(now_ms);
-            if was_away {
-                // The holder could not renew either while the log was away.
+            if was_disconnected {
+                // The holder could not renew either while the log was
+                // unavailable.
                 self.silent_since_ms = now_ms;
             }
         }
@@ -211,44 +222,44 @@
         vec![Action::Changed(after.cloned())]
     }
 
-    fn take_record(&mut self, now_ms: u64, received: &Received) {
+    fn on_record(&mut self, now_ms: u64, received: &Received) {
         let Some(record) = &received.record else {
             return;
         };
-        let heard = self.election.take(received.offset, record);
-        if heard == Heard::Void {
+        let effect = self.election.take(received.offset, record);
+        if effect == RecordEffect::NoEffect {
             return;
         }
         self.silent_since_ms = now_ms;
         self.draw_jitter();
         if record.incarnation() == self.incarnation {
-            self.take_own(now_ms, heard, record.seq());
-        } else if heard == Heard::Claim {
-            self.confirmed_at_ms = None;
+            self.on_own_record(now_ms, effect, record.seq());
+        } else if effect == RecordEffect::Claim {
+            self.confirmed_start_ms = None;
         }
     }
 
-    fn take_own(&mut self, now_ms: u64, heard: Heard, seq: u64) {
-        match heard {
-            Heard::Claim => {
-                self.confirmed_at_ms = self.started_at_ms(seq);
-                self.unfenced_from_ms = now_ms + self.settings.wait_out_ms();
+    fn on_own_record(&mut self, now_ms: u64, effect: RecordEffect, seq: u64) {
+        match effect {
+            RecordEffect::Claim => {
+                self.confirmed_start_ms = self.append_started_ms(seq);
+                self.unfenced_from_ms = now_ms + self.settings.predecessor_timeout_ms();
             }
-            Heard::Renewal => {
-                self.confirmed_at_ms = self.confirmed_at_ms.max(self.started_at_ms(seq));
+            RecordEffect::Renewal => {
+                self.confirmed_start_ms = self.confirmed_start_ms.max(self.append_started_ms(seq));
             }
-            Heard::Resignation | Heard::Void => self.confirmed_at_ms = None,
+            RecordEffect::Resignation | RecordEffect::NoEffect => self.confirmed_start_ms = None,
         }
     }
 
-    fn started_at_ms(&self, seq: u64) -> Option<u64> {
+    fn append_started_ms(&self, seq: u64) -> Option<u64> {
         let append = self.appends.iter().find(|(own, _)| *own == seq);
-        append.map(|(_, started_at_ms)| *started_at_ms)
+        append.map(|(_, append_started_ms)| *append_started_ms)
     }
 
-    fn take_fenced(&mut self, highest: u64) {
+    fn on_fenced(&mut self, highest: u64) {
         if self.own_term().is_some_and(|term| term.0 < highest) {
-            self.confirmed_at_ms = None;
+            self.confirmed_start_ms = None;
         }
     }
 
@@ -271,14 +282,14 @@
                 seq: self.seq,
             },
             None if self.claim_is_due(now_ms) => PlacerRecord::Claim {
-                expected: self.next,
+                expected: self.next_offset,
                 instance: self.instance.clone(),
                 incarnation: self.incarnation,
                 seq: self.seq,
             },
             Some(_) | None => return None,
         };
-        self.note_append(now_ms);
+        self.record_append(now_ms);
         Some(Action::Append(record))
     }
 
@@ -294,38 +305,45 @@
         if self.is_leaving {
             return false;
         }
-        let sees_head = self
+        let knows_head = self
             .last_read_ms
-            .is_some_and(|at| now_ms.saturating_sub(at) <= HEAD_FRESH_MS);
+            .is_some_and(|at| now_ms.saturating_sub(at) <= HEAD_MAX_AGE_MS);
         let silence_ms = match self.election.holder() {
             Some(_) => self.settings.silence_ms(),
             None => 0,
         };
-        let turn_ms = rank.min(LAST_RANK) * self.settings.rank_step_ms() + self.jitter_ms;
-        let own_pause = self
+        let claim_delay_ms =
+            rank.min(MAX_DELAY_RANK) * self.settings.rank_step_ms() + self.jitter_ms;
+        let may_append_again = self
             .last_append_ms
             .is_none_or(|at| now_ms.saturating_sub(at) >= self.settings.rank_step_ms());
-        sees_head && own_pause && now_ms >= self.silent_since_ms + silence_ms + turn_ms
+        knows_head
+            && may_append_again
+            && now_ms >= self.silent_since_ms + silence_ms + claim_delay_ms
     }
 
-    fn note_append(&mut self, now_ms: u64) {
+    fn record_append(&mut self, now_ms: u64) {
         self.is_appending = true;
         self.last_append_ms = Some(now_ms);
         self.appends.push_back((self.seq, now_ms));
         self.seq += 1;
-        if self.appends.len() > REMEMBERED_APPENDS {
+        if self.appends.len() > MAX_PENDING_APPENDS {
             self.appends.pop_front();
         }
     }
 
     fn draw_jitter(&mut self) {
-        let most_ms = self.settings.rank_step_ms() / 2;
-        self.jitter_ms = self.rng.random_range(0..=most_ms);
+        let max_jitter_ms = self.settings.rank_step_ms() / 2;
+        self.jitter_ms = self.rng.random_range(0..=max_jitter_ms);
     }
 }
 
-/// A claim can be judged by itself, so a reader needs no more than the newest
-/// records.
-fn start_offset(head: Offset) -> Offset {
-    Offset(head.0.saturating_sub(START_BEFORE_HEAD))
+/// Returns the offset at which a new reader starts. Each claim can be validated
+/// on its own, so the newest records suffice.
+fn start_offset(next_append_offset: Offset) -> Offset {
+    Offset(
+        next_append_offset
+            .0
+            .saturating_sub(START_RECORDS_BEFORE_HEAD),
+    )
 }
--- a/crates/core/src/placer/election.rs
+++ b/crates/core/src/placer/election.rs
@@ -1,4 +1,4 @@
-//! Who holds the placer's term, from the records alone.
+//! Determines the holder of the placer's term from the records alone.
 
 use crate::{
     ids::{Incarnation, InstanceName, Offset},
@@ -16,24 +16,25 @@
     pub incarnation: Incarnation,
 }
 
-/// What a record turned out to be.
+/// The effect of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum RecordEffect {
     /// A valid claim: its writer holds the term from now on.
     Claim,
-    /// A sign of life of the holder.
+    /// A renewal by the holder.
     Renewal,
-    /// The holder has left.
+    /// A resignation of the holder.
     Resignation,
-    /// Nothing: the claim came too late or the term is not in force.
-    Void,
+    /// No effect: the claim is not at its expected offset, or the term is not
+    /// in force.
+    NoEffect,
 }
 
-/// State of the election after the records taken so far.
+/// The state of the election after the records applied so far.
 #[derive(Clone, Debug, Default)]
 pub struct Election {
     holder: Option<Holder>,
-    /// Highest term that was in force.
+    /// Highest term that has been in force.
     newest: Option<Offset>,
 }
 
@@ -43,9 +44,9 @@
         self.holder.as_ref()
     }
 
-    /// Takes the record at `offset`; records come in order, and the first may
-    /// be any record of the stream.
-    pub fn take(&mut self, offset: Offset, record: &PlacerRecord) -> Heard {
+    /// Applies the record at `offset`. Records must be applied in order; the
+    /// first may be any record of the stream.
+    pub fn take(&mut self, offset: Offset, record: &PlacerRecord) -> RecordEffect {
         match record {
             PlacerRecord::Claim {
                 expected,
@@ -54,10 +55,10 @@
                 ..
             } => {
                 if offset != *expected {
-                    return Heard::Void;
+                    return RecordEffect::NoEffect;
                 }
-                self.set(offset, instance, *incarnation);
-                Heard::Claim
+                self.set_holder(offset, instance, *incarnation);
+                RecordEffect::Claim
             }
             PlacerRecord::Renewal {
                 term,
@@ -66,35 +67,39 @@
                 ..
             } => {
                 if self.newest.is_none_or(|newest| newest < *term) {
-                    // The claim was before the first record that was read.
-                    self.set(*term, instance, *incarnation);
+                    // The claim precedes the first record that was read.
+                    self.set_holder(*term, instance, *incarnation);
                 }
-                self.heard_of(*term, Heard::Renewal)
+                self.effect_in_term(*term, RecordEffect::Renewal)
             }
             PlacerRecord::Resignation { term, .. } => {
-                let heard = self.heard_of(*term, Heard::Resignation);
-                if heard == Heard::Resignation {
+                let effect = self.effect_in_term(*term, RecordEffect::Resignation);
+                if effect == RecordEffect::Resignation {
                     self.vacate();
                 }
-                heard
+                effect
             }
         }
     }
 
-    /// Drops the holder, whose term nobody gets again.
+    /// Clears the holder; its term does not come into force again.
     pub(crate) fn vacate(&mut self) {
         self.holder = None;
     }
 
-    fn heard_of(&self, term: Offset, heard: Heard) -> Heard {
+    fn effect_in_term(&self, term: Offset, effect: RecordEffect) -> RecordEffect {
         let is_in_force = self
             .holder
             .as_ref()
             .is_some_and(|holder| holder.term == term);
-        if is_in_force { heard } else { Heard::Void }
+        if is_in_force {
+            effect
+        } else {
+            RecordEffect::NoEffect
+        }
     }
 
-    fn set(&mut self, term: Offset, instance: &InstanceName, incarnation: Incarnation) {
+    fn set_holder(&mut self, term: Offset, instance: &InstanceName, incarnation: Incarnation) {
         self.newest = Some(term);
         self.holder = Some(Holder {
             term,
--- a/crates/core/src/placer/event.rs
+++ b/crates/core/src/placer/event.rs
@@ -1,4 +1,4 @@
-//! What happens to the placer's state machine and what follows from it.
+//! Events and actions of the placer's state machine.
 
 use crate::{
     ids::Offset,
@@ -9,48 +9,48 @@
 /// Whether and when this instance may claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It follows the stream and claims when its turn has come; 0 is the first.
+    /// It follows the stream and claims after a delay that grows with its rank.
     Candidate {
-        /// Rank among the candidates.
+        /// Rank among the candidates, from 0.
         rank: u64,
     },
-    /// Enough others are candidates.
+    /// Enough other instances are candidates.
     Bystander,
 }
 
-/// A record as it was read.
+/// A record that was read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Received {
     /// Offset of the record.
     pub offset: Offset,
-    /// The record, unless it can't be decoded.
+    /// The record; `None` if it cannot be decoded.
     pub record: Option<PlacerRecord>,
 }
 
-/// What happens to the placer's state machine.
+/// An input event of the placer's state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// The standing was looked up.
+    /// The standing of the instance was determined.
     Standing(Standing),
-    /// A read was answered.
+    /// A read completed.
     Read {
-        /// Offset that the next append will get.
+        /// Offset of the next append.
         next: Offset,
         /// Records in order.
         records: Vec<Received>,
     },
-    /// The records asked for are no longer kept.
+    /// The requested records are no longer retained.
     Trimmed {
-        /// Oldest offset that is kept.
+        /// Oldest retained offset.
         first: Offset,
     },
-    /// A read was not answered.
+    /// A read failed.
     ReadFailed,
-    /// An append ended, with an answer or without.
+    /// An append ended, with or without a response.
     AppendEnded,
-    /// An engine has seen a higher fencing number than the own.
+    /// An engine has seen a higher fencing number than that of this instance.
     Fenced {
         /// Number that the engine has seen.
         highest: u64,
@@ -59,35 +59,36 @@
     Leave,
 }
 
-/// What has to be done.
+/// An output action of the placer's state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Read the stream; one read at a time.
     Read {
-        /// First offset wanted.
+        /// First offset to read.
         from: Offset,
         /// Time to wait for a record, in ms.
         wait_ms: u64,
     },
     /// Append a record; one append at a time.
     Append(PlacerRecord),
-    /// The holder changed; for the log.
+    /// The holder changed; to be logged.
     Changed(Option<Holder>),
 }
 
-/// Leave to give orders, until it expires.
+/// A time-limited permission to give orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
     /// Fencing number of the orders.
     pub fence: u64,
-    /// Time after which no order may be handed to a socket.
+    /// Time from which no order may be handed to a socket, in ms.
     pub expires_at_ms: u64,
-    /// Time from which engines that ignore the number may get orders.
+    /// Time from which engines that ignore fencing numbers may get orders, in
+    /// ms.
     pub unfenced_from_ms: u64,
 }
 
 impl Permit {
-    /// Tells whether an engine may be given an order now.
+    /// Returns whether an engine may be given an order now.
     pub fn allows(&self, now_ms: u64, fencing: Fencing) -> bool {
         let has_waited = match fencing {
             Fencing::Checked => true,
--- a/crates/core/src/placer/record.rs
+++ b/crates/core/src/placer/record.rs
@@ -1,4 +1,4 @@
-//! Records of the placer's stream.
+//! Records of the stream `placer`.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,31 +8,31 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum PlacerRecord {
-    /// A candidate stands up; valid only at the offset that it expects.
+    /// A candidate claims a new term; valid only at the expected offset.
     Claim {
-        /// Offset that the record must have got.
+        /// Offset at which the record is valid.
         expected: Offset,
-        /// Instance that claims.
+        /// Instance that claims the term.
         instance: InstanceName,
-        /// Its run.
+        /// Run of that instance.
         incarnation: Incarnation,
         /// Number of the append, unique within the run.
         seq: u64,
     },
-    /// The holder is alive; valid only in its own term.
+    /// The holder renews its term; valid only while that term is in force.
     Renewal {
-        /// Offset of the claim that it renews.
+        /// Offset of the renewed claim.
         term: Offset,
-        /// Instance that holds it.
+        /// Instance that holds the term.
         instance: InstanceName,
-        /// Its run.
+        /// Run of that instance.
         incarnation: Incarnation,
         /// Number of the append, unique within the run.
         seq: u64,
     },
-    /// The holder leaves and has given its last order.
+    /// The holder leaves after its last order.
     Resignation {
-        /// Offset of the claim that it gives up.
+        /// Offset of the claim that is given up.
         term: Offset,
         /// Run of the holder.
         incarnation: Incarnation,
--- a/crates/core/tests/placer_election.rs
+++ b/crates/core/tests/placer_election.rs
@@ -6,7 +6,7 @@
 use savoryvane_core::{
     ids::{Incarnation, Offset},
     objects::Fencing,
-    placer::{Election, Event, Heard, Placer, PlacerRecord, PlacerSettings},
+    placer::{Election, Event, Placer, PlacerRecord, PlacerSettings, RecordEffect},
 };
 
 const TESTS: u64 = 800;
@@ -173,8 +173,11 @@
     };
     let (holder, heard) = fold(0);
     assert_eq!(holder.as_ref().unwrap().term, Offset(2));
-    assert_eq!(heard[3..5], [Heard::Void, Heard::Void]);
-    assert_eq!(heard[6], Heard::Void);
+    assert_eq!(
+        heard[3..5],
+        [RecordEffect::NoEffect, RecordEffect::NoEffect]
+    );
+    assert_eq!(heard[6], RecordEffect::NoEffect);
     for skip in 1..6 {
         assert_eq!(fold(skip).0, holder, "from {skip} on");
     }
