--- a/crates/core/src/cost.rs
+++ b/crates/core/src/cost.rs
@@ -1,4 +1,4 @@
-//! Cost by stage, wasted work included.
+//! Accounts for cost by stage, including wasted work.
 
 use std::collections::BTreeMap;
 
@@ -8,16 +8,16 @@
 
 const US_PER_S: u128 = 1_000_000;
 
-/// Returns the price of `busy_us` at `price_micros_per_s`.
+/// Returns the cost of `busy_us` at `price_micros_per_s`.
 pub fn cost_micros(busy_us: u64, price_micros_per_s: u64) -> u64 {
     let cost = u128::from(busy_us) * u128::from(price_micros_per_s) / US_PER_S;
     u64::try_from(cost).unwrap_or(u64::MAX)
 }
 
-/// Time and cost of one stage of one request.
+/// The time and cost of one stage of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StageUsage {
-    /// Stage.
+    /// Name of the stage.
     pub stage: StageName,
     /// Time from the stage's start to its end, in µs.
     pub elapsed_us: u64,
@@ -25,14 +25,14 @@
     pub busy_us: u64,
     /// Cost of that time, in millionths of the accounting currency.
     pub cost_micros: u64,
-    /// Part of the cost spent on calls whose answer was not used.
+    /// Part of the cost spent on calls whose response was not used.
     pub wasted_micros: u64,
-    /// Calls sent, the first attempt included.
+    /// Calls sent, including the first attempt.
     pub calls: u32,
 }
 
 impl StageUsage {
-    /// Starts an empty account of `stage`.
+    /// Creates an empty usage of `stage`.
     pub fn new(stage: StageName) -> Self {
         Self {
             stage,
@@ -45,14 +45,15 @@
     }
 }
 
-/// Cost of one workspace's use of one stage, as this instance has booked it.
+/// The cost of the use of one stage by one workspace, as recorded by this
+/// instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CostLine {
     /// Workspace.
     pub workspace: WorkspaceName,
     /// Pipeline.
     pub pipeline: PipelineName,
-    /// Stage.
+    /// Name of the stage.
     pub stage: StageName,
     /// Calls sent.
     pub calls: u64,
@@ -60,18 +61,19 @@
     pub busy_us: u64,
     /// Cost, in millionths of the accounting currency.
     pub cost_micros: u64,
-    /// Part of the cost whose work was not used.
+    /// Part of the cost spent on work that was not used.
     pub wasted_micros: u64,
 }
 
-/// Sums of what was spent, by workspace, pipeline and stage.
+/// Total costs by workspace, pipeline and stage.
 #[derive(Clone, Debug, Default)]
 pub struct CostLedger {
     lines: BTreeMap<(WorkspaceName, PipelineName, StageName), CostLine>,
 }
 
 impl CostLedger {
-    /// Adds what one request spent; `is_wasted` when its caller got no answer.
+    /// Adds the usage of one request; `is_wasted` if its caller got no complete
+    /// response.
     pub fn book(
         &mut self,
         workspace: &WorkspaceName,
@@ -99,7 +101,7 @@
         };
     }
 
-    /// Lists the sums, ordered by workspace, pipeline and stage.
+    /// Returns the totals, ordered by workspace, pipeline and stage.
     pub fn lines(&self) -> impl Iterator<Item = &CostLine> {
         self.lines.values()
     }
--- a/crates/core/src/decision.rs
+++ b/crates/core/src/decision.rs
@@ -1,21 +1,21 @@
-//! Decisions as values, for one log line each.
+//! Decisions, each logged as one line.
 
 use std::fmt;
 
 use crate::ids::{BackendName, RequestId, StageName, ZoneName};
 
-/// What was decided.
+/// The kind of a decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DecisionKind {
-    /// Whether a request is taken.
+    /// Whether to admit a request.
     Admission,
-    /// Where the first call of a stage goes.
+    /// Where to send the first call of a stage.
     Route,
-    /// Where a call goes after one that did not answer.
+    /// Where to send a call after one that got no result.
     Retry,
-    /// Where a second call goes while the first is still running.
+    /// Where to send a second call while the first is still running.
     Hedge,
-    /// That the request is given up.
+    /// To give up the request.
     GiveUp,
 }
 
@@ -32,36 +32,37 @@
     }
 }
 
-/// Why it was decided so.
+/// The reason for a decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DecisionReason {
-    /// It fits its deadline as far as is known.
+    /// The request is expected to meet its deadline.
     Fits,
-    /// The candidate with the least load won.
+    /// The candidate with the least load was chosen.
     LeastLoad,
-    /// It has its place among requests under which servers have ended.
+    /// The request is placed among the requests that are suspected of crashing
+    /// servers.
     Apart,
-    /// It was the candidate's turn.
+    /// The candidate was next in round-robin order.
     Turn,
-    /// The only candidate.
+    /// There was only one candidate.
     Only,
     /// No backend server can take the call.
     NoBackend,
-    /// The stage has been attempted as often as allowed.
+    /// The stage has reached the maximum number of attempts.
     AttemptsSpent,
-    /// Retries have used up their share of the traffic.
+    /// The retry budget is spent.
     RetryBudgetSpent,
-    /// The deadline cannot be met any more.
+    /// The deadline can no longer be met.
     CannotFinish,
     /// The deadline has passed.
     DeadlinePassed,
-    /// The earlier call may have run and may not be repeated.
+    /// The earlier call may have run and is not idempotent.
     NotIdempotent,
-    /// The workspace is over its share while others need theirs.
+    /// The workspace exceeds its share while others need theirs.
     OverShare,
-    /// Backend servers end under the request.
+    /// Backend servers crash while they run the request.
     EndsServers,
-    /// The caller has gone.
+    /// The caller has disconnected.
     CallerGone,
 }
 
@@ -100,25 +101,25 @@
     pub backend: BackendName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Expected wait and latency there, in µs; the lowest wins.
+    /// Expected wait and latency, in µs; the lowest score is chosen.
     pub score_us: u64,
 }
 
-/// One decision about one request.
+/// A decision about one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision {
-    /// What was decided.
+    /// Kind of the decision.
     pub kind: DecisionKind,
-    /// Request that it is about.
+    /// Request concerned.
     pub request: RequestId,
-    /// Stage that it is about.
+    /// Stage concerned, if any.
     pub stage: Option<StageName>,
-    /// Attempt that it starts.
+    /// Attempt started by the decision, if any.
     pub attempt: Option<u64>,
-    /// Backend servers considered.
+    /// Candidates considered.
     pub candidates: Vec<Candidate>,
-    /// Backend server chosen.
+    /// Backend server chosen, if any.
     pub choice: Option<BackendName>,
-    /// Why.
+    /// Reason for the decision.
     pub reason: DecisionReason,
 }
--- a/crates/core/src/limiter.rs
+++ b/crates/core/src/limiter.rs
@@ -1,4 +1,5 @@
-//! Which requests of a workspace an instance takes, by the rate that it may use.
+//! Admits the requests of workspaces at an instance by the rates that it may
+//! use.
 
 use std::collections::HashMap;
 
@@ -9,45 +10,45 @@
     topology::Shard,
 };
 
-/// Most workspaces of a shard with a bucket of their own; a request of a further
-/// one is refused. One whose bucket is full needs none.
+/// Maximum workspaces of a shard with a bucket; requests of further ones are
+/// refused. A workspace with a full bucket needs none.
 const MAX_ACTIVE: usize = 4_096;
-/// Least rate that is asked for as a rate.
-const LEAST_RATE: Rate = Rate(1_000_000);
-/// Requests that are asked for, per hundred of those that came.
+/// Minimum rate that is requested as a rate.
+const MIN_RATE: Rate = Rate(1_000_000);
+/// Requested rate in per cent of the observed one.
 const HEADROOM_PERCENT: u64 = 125;
-/// Shortest time until a refused request may come again, in ms.
-const LEAST_RETRY_MS: u64 = 50;
-/// Longest time until a refused request may come again, in ms.
-const LONGEST_RETRY_MS: u64 = 10_000;
+/// Minimum retry time given to a refused request, in ms.
+const MIN_RETRY_MS: u64 = 50;
+/// Maximum retry time given to a refused request, in ms.
+const MAX_RETRY_MS: u64 = 10_000;
 
-/// Answer to a request for admission.
+/// The result of an admission decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// The request may run.
     Admitted,
-    /// The workspace is at the rate that this instance may use for it.
+    /// The workspace has reached the rate that this instance may use for it.
     Refused {
-        /// When to come back, in ms.
+        /// Time after which to retry, in ms.
         retry_after_ms: u64,
     },
-    /// There is no such workspace.
+    /// The workspace does not exist.
     Unknown,
 }
 
-/// Quotas and buckets of the workspaces.
+/// The quotas and buckets of the workspaces.
 #[derive(Debug)]
 pub struct Limiter {
     quotas: HashMap<WorkspaceName, WorkspaceKey>,
     rates: HashMap<WorkspaceKey, Rate>,
-    active: Vec<HashMap<WorkspaceKey, Active>>,
+    active: Vec<HashMap<WorkspaceKey, ActiveWorkspace>>,
     has_low: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Active {
+struct ActiveWorkspace {
     bucket: Bucket,
-    came: u64,
+    arrivals: u64,
     wanted: Rate,
 }
 
@@ -63,7 +64,7 @@
 }
 
 impl Limiter {
-    /// Replaces the quotas, in requests a second over the whole deployment.
+    /// Replaces the quotas, in requests per second over the whole deployment.
     pub fn set_quotas<'a>(&mut self, quotas: impl Iterator<Item = (&'a WorkspaceName, u32)>) {
         self.quotas.clear();
         self.rates.clear();
@@ -88,37 +89,37 @@
         self.quotas.get(workspace).copied()
     }
 
-    /// Decides on one request, by the rates that hold now.
+    /// Decides on one request by the current rates.
     pub fn admit(&mut self, now_ms: u64, key: WorkspaceKey, flow: Flow) -> Admission {
-        let of_shard = &mut self.active[usize::from(key.shard().0)];
-        if of_shard.len() >= MAX_ACTIVE && !of_shard.contains_key(&key) {
-            let retry_after_ms = LONGEST_RETRY_MS;
+        let shard_buckets = &mut self.active[usize::from(key.shard().0)];
+        if shard_buckets.len() >= MAX_ACTIVE && !shard_buckets.contains_key(&key) {
+            let retry_after_ms = MAX_RETRY_MS;
             return Admission::Refused { retry_after_ms };
         }
-        let active = of_shard.entry(key).or_insert_with(|| Active {
+        let active = shard_buckets.entry(key).or_insert_with(|| ActiveWorkspace {
             bucket: Bucket::new(now_ms, flow),
-            came: 0,
+            arrivals: 0,
             wanted: Rate::default(),
         });
-        active.came += 1;
+        active.arrivals += 1;
         active.bucket.fill(now_ms, flow);
-        let is_taken = active.bucket.take();
+        let is_admitted = active.bucket.take();
         self.has_low |= active.bucket.is_low(flow);
-        if is_taken {
+        if is_admitted {
             return Admission::Admitted;
         }
         let wait_ms = active.bucket.wait_ms(flow);
-        let retry_after_ms = wait_ms.clamp(LEAST_RETRY_MS, LONGEST_RETRY_MS);
+        let retry_after_ms = wait_ms.clamp(MIN_RETRY_MS, MAX_RETRY_MS);
         Admission::Refused { retry_after_ms }
     }
 
-    /// Tells whether a deep bucket ran low since the last call.
+    /// Returns whether a deep bucket has run low since the last call.
     pub fn take_low(&mut self) -> bool {
         std::mem::take(&mut self.has_low)
     }
 
-    /// Returns the demand for the active workspaces of a shard, counted since the
-    /// last call for it `elapsed_ms` ago, and drops those that are idle.
+    /// Returns the demands of the active workspaces of a shard, counted since
+    /// the last call for it `elapsed_ms` ago, and removes the idle ones.
     pub fn demands(
         &mut self,
         now_ms: u64,
@@ -132,41 +133,41 @@
             let flow = flow_of(*key, rates.get(key).copied().unwrap_or_default());
             active.bucket.fill(now_ms, flow);
             let missing = active.bucket.missing_milli(flow);
-            let came = std::mem::take(&mut active.came);
-            if came == 0 && missing == 0 {
+            let arrivals = std::mem::take(&mut active.arrivals);
+            if arrivals == 0 && missing == 0 {
                 return false;
             }
-            demands.push(active.demand(*key, flow, came, missing, elapsed_ms));
+            demands.push(active.demand(*key, flow, arrivals, missing, elapsed_ms));
             true
         });
         demands
     }
 
-    /// Adds requests that were made up for, in thousandths.
+    /// Credits requests to the bucket of a workspace, in thousandths.
     pub fn make_up(&mut self, key: WorkspaceKey, milli: u32) {
         if let Some(active) = self.active[usize::from(key.shard().0)].get_mut(&key) {
             active.bucket.add_milli(milli);
         }
     }
 
-    /// Returns how many workspaces are active.
+    /// Returns the number of active workspaces.
     pub fn active(&self) -> usize {
         self.active.iter().map(HashMap::len).sum()
     }
 }
 
-impl Active {
+impl ActiveWorkspace {
     fn demand(
         &mut self,
         key: WorkspaceKey,
         flow: Flow,
-        came: u64,
+        arrivals: u64,
         missing: u32,
         elapsed_ms: u64,
     ) -> Demand {
-        let came = came * 1_000_000 * 1_000 / elapsed_ms.max(1);
-        self.wanted = Rate(came * HEADROOM_PERCENT / 100).max(self.wanted.part(1, 2));
-        let is_rate = flow.is_deep() || self.wanted >= LEAST_RATE.part(2, 1);
+        let arrival_rate = arrivals * 1_000_000 * 1_000 / elapsed_ms.max(1);
+        self.wanted = Rate(arrival_rate * HEADROOM_PERCENT / 100).max(self.wanted.part(1, 2));
+        let is_rate = flow.is_deep() || self.wanted >= MIN_RATE.part(2, 1);
         let held = flow.rate;
         if is_rate {
             let wanted = self.wanted.max(self.bucket.missing(flow));
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,22 +1,24 @@
-//! The closed set of final answers a caller can get.
+//! The closed set of final outcomes that a caller can receive.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// How a request ended, as its caller is told.
+/// The outcome of a request, as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The whole answer is in the body.
+    /// The body contains the complete response.
     Complete,
-    /// Nothing of the request ran, under this attempt or any other with its key.
+    /// Nothing of the request ran, neither in this attempt nor in another one
+    /// under the same key.
     NotRun,
-    /// This attempt started nothing; an earlier one under the same key may have.
+    /// This attempt started nothing; an earlier one under the same key may have
+    /// run.
     NotStarted,
-    /// Something ran, there is no answer, and it is safe to repeat.
+    /// Something ran without a response, and it is safe to repeat the request.
     Failed,
-    /// It may have taken effect; it is not safe to repeat.
+    /// The request may have taken effect; it is not safe to repeat it.
     Unknown,
 }
 
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Tells whether the caller may send the request again as it is.
+    /// Returns whether the caller may repeat the request unchanged.
     pub fn is_safe_to_repeat(self) -> bool {
         match self {
             Self::Complete | Self::Unknown => false,
--- a/crates/core/src/progress.rs
+++ b/crates/core/src/progress.rs
@@ -1,69 +1,70 @@
-//! How far the calls of a run went that may not be run again.
+//! Tracks which calls of a run were sent, to prevent non-idempotent calls from
+//! running twice.
 
 use crate::outcome::Outcome;
 
 /// Whether a call may be sent again after it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// It may.
+    /// The call may be sent again.
     Idempotent,
-    /// It may not.
+    /// The call must not be sent again.
     NonIdempotent,
 }
 
-/// Why a call that had a permit certainly has not run.
+/// The reason why a call that had a permit certainly has not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retraction {
-    /// Not one byte of it was written.
+    /// No byte of it was written.
     NotWritten,
     /// The backend server refused it.
     Refused,
 }
 
-/// Calls that were handed to a socket.
+/// The calls of a run that were handed to a socket.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Progress {
     ran: bool,
-    sent_stage: Option<u32>,
-    sent_before: Option<u32>,
+    last_sent_stage: Option<u32>,
+    previous_sent_stage: Option<u32>,
 }
 
 impl Progress {
-    /// Marks a call as sent; `false` when it may not be. Stages go up, so the
-    /// last one tells for all.
+    /// Marks a call as sent and returns whether it may be. Stages are sent in
+    /// ascending order, so the last one is sufficient.
     pub(crate) fn send(&mut self, stage: u32, kind: CallKind) -> bool {
         match kind {
             CallKind::Idempotent => self.ran = true,
-            CallKind::NonIdempotent if self.sent_stage.is_some_and(|sent| stage <= sent) => {
+            CallKind::NonIdempotent if self.last_sent_stage.is_some_and(|sent| stage <= sent) => {
                 return false;
             }
             CallKind::NonIdempotent => {
-                self.sent_before = self.sent_stage;
-                self.sent_stage = Some(stage);
+                self.previous_sent_stage = self.last_sent_stage;
+                self.last_sent_stage = Some(stage);
             }
         }
         true
     }
 
-    /// Takes back the last non-idempotent call.
+    /// Retracts the last non-idempotent call.
     pub(crate) fn retract(&mut self, cause: Retraction) {
-        self.sent_stage = self.sent_before;
+        self.last_sent_stage = self.previous_sent_stage;
         self.ran |= cause == Retraction::Refused;
     }
 
-    /// Tells whether any call was handed to a socket.
+    /// Returns whether any call was handed to a socket.
     pub(crate) fn ran(&self) -> bool {
         self.ran || self.may_have_run()
     }
 
-    /// Tells whether a non-idempotent call was handed to a socket and may have
-    /// run.
+    /// Returns whether a non-idempotent call was handed to a socket and may
+    /// have run.
     pub(crate) fn may_have_run(&self) -> bool {
-        self.sent_stage.is_some()
+        self.last_sent_stage.is_some()
     }
 
-    /// Returns what to tell of a run that may have taken effect: that it is
-    /// complete, or that it is unknown.
+    /// Returns the outcome to report for a run that may have taken effect:
+    /// complete or unknown.
     pub(crate) fn told(&self, outcome: Outcome) -> Outcome {
         match outcome {
             Outcome::Complete => Outcome::Complete,
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,11 +1,12 @@
-//! Settings of the policy: routing, admission, retries and hedging.
+//! Policy settings: routing, admission, retries and hedging.
 
 use crate::objects::Objective;
 
-/// Tunes every decision of an instance. The defaults suit today's sizes.
+/// Parameters of every decision of an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PolicySettings {
-    /// Backend servers of a pool and availability zone that one instance uses.
+    /// Maximum backend servers of a pool and availability zone that one
+    /// instance uses.
     pub subset_size: usize,
     /// How a backend server is chosen among the candidates.
     pub routing: Routing,
@@ -13,38 +14,37 @@
     pub spill: Spill,
     /// Whether engines that may have a prompt's prefix cached are preferred.
     pub affinity: Affinity,
-    /// Greatest bonus of such an engine, in per cent of a call's busy time.
+    /// Maximum bonus of such an engine, in per cent of a call's busy time.
     pub affinity_percent: ByObjective,
-    /// Whether requests that cannot be answered in time are refused.
+    /// Whether requests that cannot meet their deadline are refused.
     pub admission: Admission,
-    /// Share of a request's slack that it may be expected to wait in queues,
-    /// in per cent.
+    /// Maximum expected queue wait of a request, in per cent of its slack.
     pub wait_percent_of_slack: ByObjective,
     /// When a request that has begun is given up.
     pub budgets: Budgets,
-    /// Who is refused first under pressure.
+    /// Which workspaces are refused first under load.
     pub fairness: Fairness,
-    /// Whether backend servers that fail are left alone for a while.
+    /// Whether failing backend servers are ejected temporarily.
     pub ejection: Ejection,
-    /// Time for which a backend server is ejected first; doubled each time it
-    /// fails again, in ms.
+    /// First ejection time of a backend server, in ms; doubled each time it
+    /// fails again.
     pub ejection_ms: u64,
-    /// Most backend servers of a pool that are ejected for failing, in per
-    /// cent; one may always be.
+    /// Maximum share of the backend servers of a pool that are ejected for
+    /// failing, in per cent; at least one may always be.
     pub ejected_percent_max: u32,
-    /// When a second call is sent while the first may still answer.
+    /// When a second call is sent while the first is still running.
     pub hedging: Hedging,
-    /// Calls of one stage of one request, the first included.
+    /// Maximum calls of one stage of one request, including the first.
     pub max_attempts: u32,
-    /// Retries and hedges allowed for each hundred first attempts.
+    /// Retries and hedges allowed per hundred first attempts.
     pub retry_percent: u32,
     /// Retries that may be sent before any traffic has earned them.
     pub retry_burst: u32,
-    /// How load reports are used as they age.
+    /// How load reports are weighted as they age.
     pub reports: Reports,
-    /// Age after which a load report counts for nothing, in ms.
+    /// Age after which a load report is ignored, in ms.
     pub report_max_age_ms: u64,
-    /// Time to come back after when nothing better is known, in ms.
+    /// Base retry time given to refused callers, in ms.
     pub default_retry_after_ms: u64,
 }
 
@@ -80,17 +80,17 @@
     }
 }
 
-/// A number for each thing that an operator may weigh more heavily.
+/// A value for each objective that an operator can prioritise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ByObjective {
-    /// Where attainment weighs more.
+    /// Value where attainment is prioritised.
     pub attainment: u32,
-    /// Where cost weighs more.
+    /// Value where cost is prioritised.
     pub cost: u32,
 }
 
 impl ByObjective {
-    /// Returns the number for an objective.
+    /// Returns the value for an objective.
     pub fn of(self, objective: Objective) -> u32 {
         match objective {
             Objective::Attainment => self.attainment,
@@ -102,64 +102,65 @@
 /// How a backend server is chosen among the candidates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Routing {
-    /// Each candidate in turn, whatever its load.
+    /// Each candidate in turn, regardless of load.
     RoundRobin,
-    /// The less loaded of two random ones, the own availability zone first.
+    /// The less loaded of two random ones, preferring the own availability
+    /// zone.
     TwoChoices,
 }
 
 /// When calls leave the own availability zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Spill {
-    /// Only when none of its backend servers takes work.
+    /// Only when none of its backend servers takes calls.
     WhenEmpty,
-    /// When the wait there is longer than elsewhere by more than the way.
+    /// When its wait exceeds that elsewhere by more than the network time.
     ByWait,
 }
 
-/// How load reports are used as they age.
+/// How load reports are weighted as they age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reports {
-    /// As they are, until they are too old.
+    /// At full weight until they are too old.
     Trusted,
-    /// The less, the more calls have come and gone since.
+    /// At a weight that decays as calls end and are replaced.
     Fading,
 }
 
-/// Whether backend servers that fail are left alone for a while.
+/// Whether failing backend servers are ejected temporarily.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ejection {
-    /// They get calls like the others.
+    /// They continue to get calls.
     Off,
-    /// They get none for a while, then one at a time until one succeeds.
+    /// They get no calls for a while, then one at a time until one succeeds.
     On,
 }
 
-/// Whether requests that cannot be answered in time are refused.
+/// Whether requests that cannot meet their deadline are refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Every request is taken.
+    /// Every request is admitted.
     Off,
-    /// Those are refused whose forecast does not leave enough time.
+    /// Requests are refused if their forecast does not leave enough time.
     ByForecast,
 }
 
-/// When a second call is sent while the first may still answer.
+/// When a second call is sent while the first is still running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Hedging {
     /// Never.
     Off,
-    /// When the first makes no progress for longer than usual. Where cost
-    /// weighs more, the first is given up then.
+    /// When the first makes no progress for longer than usual. Where cost is
+    /// prioritised, the first call is then cancelled.
     Overdue,
 }
 
-/// Who is refused first under pressure.
+/// Which workspaces are refused first under load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fairness {
-    /// Whoever comes next.
+    /// Any workspace, in order of arrival.
     Off,
-    /// Workspaces that have used more than their share, by weight.
+    /// Workspaces that have used more than their weighted share.
     Weighted,
 }
 
@@ -168,15 +169,16 @@
 pub enum Budgets {
     /// At its deadline.
     WholeOnly,
-    /// As soon as its later stages would not have time, were they fast.
+    /// As soon as its remaining stages could not meet the deadline even at
+    /// their shortest expected times.
     ByStage,
 }
 
 /// Whether engines that may have a prompt's prefix cached are preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Affinity {
-    /// They are like the others.
+    /// They are not preferred.
     Off,
-    /// By a bounded bonus, so that load goes first.
+    /// They get a bounded bonus, so that load takes precedence.
     Bounded,
 }
