--- a/crates/core/src/decision.rs
+++ b/crates/core/src/decision.rs
@@ -41,9 +41,9 @@
     LeastLoad,
     /// The request is placed among the requests that are suspected of crashing
     /// servers.
-    Apart,
+    Isolated,
     /// The candidate was next in round-robin order.
-    Turn,
+    RoundRobin,
     /// There was only one candidate.
     Only,
     /// No backend server can take the call.
@@ -72,8 +72,8 @@
         match self {
             Self::Fits => "fits",
             Self::LeastLoad => "least_load",
-            Self::Apart => "apart",
-            Self::Turn => "turn",
+            Self::Isolated => "apart",
+            Self::RoundRobin => "turn",
             Self::Only => "only",
             Self::NoBackend => "no_backend",
             Self::AttemptsSpent => "attempts_spent",
--- a/crates/core/src/execution/overdue.rs
+++ b/crates/core/src/execution/overdue.rs
@@ -55,7 +55,7 @@
         }
         context
             .fleet
-            .on_bad_answer(context.now_ms, &attempt.backend, Fault::Failing);
+            .on_fault(context.now_ms, &attempt.backend, Fault::Failing);
         let all_overdue = self.live.iter().all(|live| live.is_overdue);
         let may_hedge = context.fleet.settings.hedging == Hedging::Overdue
             && self.stage().idempotent
--- a/crates/core/src/execution/retry.rs
+++ b/crates/core/src/execution/retry.rs
@@ -144,7 +144,7 @@
         if !std::mem::replace(&mut attempt.is_silent, true) {
             context
                 .fleet
-                .on_bad_answer(context.now_ms, &attempt.backend, Fault::Silent);
+                .on_fault(context.now_ms, &attempt.backend, Fault::Silent);
         }
         if !is_idempotent {
             return;
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -344,7 +344,7 @@
                     known.busy_times.record(busy_us);
                 }
             }
-            CallEnd::Failed(fault) => self.on_bad_answer(now_ms, name, fault),
+            CallEnd::Failed(fault) => self.on_fault(now_ms, name, fault),
             CallEnd::Refused(_) | CallEnd::Abandoned => {}
         }
     }
--- a/crates/core/src/fleet/health.rs
+++ b/crates/core/src/fleet/health.rs
@@ -80,7 +80,7 @@
     /// Failing servers are ejected up to a share of their pool; more at once
     /// means that the fault lies elsewhere. There is no such cap for servers
     /// that are silent or cannot be reached.
-    pub(crate) fn on_bad_answer(&mut self, now_ms: u64, name: &BackendName, fault: Fault) {
+    pub(crate) fn on_fault(&mut self, now_ms: u64, name: &BackendName, fault: Fault) {
         let settings = self.settings.clone();
         if settings.ejection == Ejection::Off {
             return;
--- a/crates/core/src/fleet/route.rs
+++ b/crates/core/src/fleet/route.rs
@@ -167,7 +167,7 @@
             now_ms,
             query,
             &[eligible[position % eligible.len()]],
-            DecisionReason::Turn,
+            DecisionReason::RoundRobin,
         )
     }
 
--- a/crates/core/src/forwarding/placement.rs
+++ b/crates/core/src/forwarding/placement.rs
@@ -135,7 +135,7 @@
             server: server.cloned(),
             reason: match server {
                 None => DecisionReason::NoBackend,
-                Some(_) => DecisionReason::Apart,
+                Some(_) => DecisionReason::Isolated,
             },
             considered: eligible.len(),
         }
@@ -273,7 +273,7 @@
     /// Notes that `server` was given up as it stayed silent; its request has been
     /// noted as abandoned.
     pub fn on_given_up(&mut self, now_ms: u64, server: &BackendName) {
-        self.on_bad_answer(now_ms, server, Fault::Silent);
+        self.on_fault(now_ms, server, Fault::Silent);
     }
 
     /// Notes that no connection to `server` could be made.
