--- a/crates/core/src/placer.rs
+++ b/crates/core/src/placer.rs
@@ -29,7 +29,7 @@
 
 pub use self::{
     election::{Election, Holder, RecordEffect},
-    event::{Action, Event, Permit, Received, Standing},
+    event::{Action, ElectionRole, Event, Permit, Received},
     record::PlacerRecord,
     settings::PlacerSettings,
 };
@@ -55,7 +55,7 @@
     incarnation: Incarnation,
     settings: PlacerSettings,
     rng: Pcg64Mcg,
-    standing: Standing,
+    role: ElectionRole,
     election: Election,
     /// Next offset to read.
     next_offset: Offset,
@@ -91,7 +91,7 @@
             incarnation,
             settings,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            standing: Standing::Bystander,
+            role: ElectionRole::Observer,
             election: Election::default(),
             next_offset: Offset::default(),
             has_read: false,
@@ -140,7 +140,7 @@
         let mut actions = Vec::new();
         match event {
             Event::Tick => {}
-            Event::Standing(standing) => self.set_standing(now_ms, standing),
+            Event::RoleChanged(role) => self.set_role(now_ms, role),
             Event::Read { next, records } => {
                 actions.extend(self.on_read(now_ms, next, &records));
             }
@@ -161,16 +161,16 @@
         actions
     }
 
-    fn set_standing(&mut self, now_ms: u64, standing: Standing) {
-        if self.standing == Standing::Bystander && standing != Standing::Bystander {
+    fn set_role(&mut self, now_ms: u64, role: ElectionRole) {
+        if self.role == ElectionRole::Observer && role != ElectionRole::Observer {
             self.silent_since_ms = now_ms;
             self.last_read_ms = None;
         }
-        self.standing = standing;
+        self.role = role;
     }
 
     fn reads_stream(&self) -> bool {
-        self.standing != Standing::Bystander || self.own_term().is_some()
+        self.role != ElectionRole::Observer || self.own_term().is_some()
     }
 
     fn next_read(&mut self) -> Option<Action> {
@@ -299,7 +299,7 @@
     }
 
     fn claim_is_due(&self, now_ms: u64) -> bool {
-        let Standing::Candidate { rank } = self.standing else {
+        let ElectionRole::Candidate { rank } = self.role else {
             return false;
         };
         if self.is_leaving {
--- a/crates/core/src/placer/event.rs
+++ b/crates/core/src/placer/event.rs
@@ -8,14 +8,14 @@
 
 /// Whether and when this instance may claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ElectionRole {
     /// It follows the stream and claims after a delay that grows with its rank.
     Candidate {
         /// Rank among the candidates, from 0.
         rank: u64,
     },
     /// Enough other instances are candidates.
-    Bystander,
+    Observer,
 }
 
 /// A record that was read.
@@ -32,8 +32,8 @@
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// The standing of the instance was determined.
-    Standing(Standing),
+    /// The role of the instance was determined.
+    RoleChanged(ElectionRole),
     /// A read completed.
     Read {
         /// Offset of the next append.
--- a/crates/core/tests/placer_election.rs
+++ b/crates/core/tests/placer_election.rs
@@ -204,8 +204,8 @@
 fn trimmed_records_are_passed_over() {
     let settings = PlacerSettings::default();
     let mut placer = Placer::new("entry".into(), Incarnation(1), settings, 1);
-    let candidate = savoryvane_core::placer::Standing::Candidate { rank: 0 };
-    placer.on_event(0, Event::Standing(candidate));
+    let candidate = savoryvane_core::placer::ElectionRole::Candidate { rank: 0 };
+    placer.on_event(0, Event::RoleChanged(candidate));
     let first = Offset(500);
     let actions = placer.on_event(10, Event::Trimmed { first });
     let read = actions.iter().find_map(|action| match action {
--- a/crates/core/tests/placer_world/mod.rs
+++ b/crates/core/tests/placer_world/mod.rs
@@ -9,7 +9,7 @@
 use savoryvane_core::{
     ids::{Incarnation, Offset},
     objects::Fencing,
-    placer::{Action, Event, Placer, PlacerRecord, PlacerSettings, Received, Standing},
+    placer::{Action, ElectionRole, Event, Placer, PlacerRecord, PlacerSettings, Received},
 };
 
 pub use fate::Fate;
@@ -126,7 +126,7 @@
 
     fn stand(&mut self, at: usize) {
         let rank = at as u64;
-        self.event(at, Event::Standing(Standing::Candidate { rank }));
+        self.event(at, Event::RoleChanged(ElectionRole::Candidate { rank }));
     }
 
     pub fn local_ms(&self, at: usize) -> u64 {
--- a/crates/server/src/placer.rs
+++ b/crates/server/src/placer.rs
@@ -10,8 +10,8 @@
 use savoryvane_core::{
     ids::{Incarnation, InstanceName, Offset},
     placer::{
-        Action, Event, Holder, Permit, Placer, PlacerRecord, PlacerSettings, Received, Standing,
-        TICK_MS,
+        Action, ElectionRole, Event, Holder, Permit, Placer, PlacerRecord, PlacerSettings,
+        Received, TICK_MS,
     },
     topology::Duty,
 };
@@ -84,7 +84,7 @@
         tokio::select! {
             _ = ticks.tick() => {
                 if count.is_multiple_of(LOOK_TICKS) {
-                    apply(&shared, &mut jobs, Event::Standing(standing(&shared)));
+                    apply(&shared, &mut jobs, Event::RoleChanged(standing(&shared)));
                 }
                 count += 1;
                 let event = match shared.phases.current() >= Phase::Leaving {
@@ -184,9 +184,9 @@
 }
 
 /// Tells what part this instance has: there is one placer for all zones.
-fn standing(shared: &Shared) -> Standing {
+fn standing(shared: &Shared) -> ElectionRole {
     match members::rank_of_all(shared, Duty::Placer) {
-        rank if rank < FOLLOWERS => Standing::Candidate { rank },
-        _ => Standing::Bystander,
+        rank if rank < FOLLOWERS => ElectionRole::Candidate { rank },
+        _ => ElectionRole::Observer,
     }
 }
