--- a/crates/core/src/claimant.rs
+++ b/crates/core/src/claimant.rs
@@ -478,7 +478,7 @@
             let ending = self.give_up(now_ms, attempt, ClaimReason::NothingSent);
             return ending.map_or(outcome, |ending| ending.outcome);
         }
-        let told = hold.progress.told(outcome);
+        let told = hold.progress.reported_outcome(outcome);
         if let Some(request) = self.requests.remove(&attempt) {
             self.batcher.push(Entry::Done {
                 key: request.ask.key,
--- a/crates/core/src/limiter.rs
+++ b/crates/core/src/limiter.rs
@@ -144,7 +144,7 @@
     }
 
     /// Credits requests to the bucket of a workspace, in thousandths.
-    pub fn make_up(&mut self, key: WorkspaceKey, milli: u32) {
+    pub fn credit(&mut self, key: WorkspaceKey, milli: u32) {
         if let Some(active) = self.active[usize::from(key.shard().0)].get_mut(&key) {
             active.bucket.add_milli(milli);
         }
--- a/crates/core/src/progress.rs
+++ b/crates/core/src/progress.rs
@@ -65,7 +65,7 @@
 
     /// Returns the outcome to report for a run that may have taken effect:
     /// complete or unknown.
-    pub(crate) fn told(&self, outcome: Outcome) -> Outcome {
+    pub(crate) fn reported_outcome(&self, outcome: Outcome) -> Outcome {
         match outcome {
             Outcome::Complete => Outcome::Complete,
             Outcome::NotRun | Outcome::NotStarted | Outcome::Failed | Outcome::Unknown => {
--- a/crates/core/src/pace.rs
+++ b/crates/core/src/report_schedule.rs
@@ -2,7 +2,7 @@
 //! that stays rare.
 
 /// Time between two steady reports, in ms.
-pub const REPORT_MS: u64 = 1_000;
+pub const REPORT_INTERVAL_MS: u64 = 1_000;
 /// Minimum time between a report and a following urgent one, in ms.
 const MIN_URGENT_INTERVAL_MS: u64 = 200;
 /// Maximum urgent reports in a row.
@@ -12,7 +12,7 @@
 
 /// The schedule of the reports of one claimant for one shard.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct ReportSchedule {
     next_report_ms: u64,
     last_report_ms: u64,
     urgent_credits: u32,
@@ -20,7 +20,7 @@
     is_urgent: bool,
 }
 
-impl Pace {
+impl ReportSchedule {
     /// Creates a schedule with the first report at `first_ms`.
     pub fn new(now_ms: u64, first_ms: u64) -> Self {
         Self {
@@ -33,7 +33,7 @@
     }
 
     /// Requests a report before the next steady one.
-    pub fn urge(&mut self) {
+    pub fn request_urgent(&mut self) {
         self.is_urgent = true;
     }
 
@@ -61,7 +61,7 @@
         let elapsed_ms = now_ms.saturating_sub(self.last_report_ms);
         self.is_urgent = false;
         self.last_report_ms = now_ms;
-        self.next_report_ms = now_ms + REPORT_MS;
+        self.next_report_ms = now_ms + REPORT_INTERVAL_MS;
         Some(elapsed_ms)
     }
 }
--- a/crates/core/src/ticket.rs
+++ b/crates/core/src/ticket.rs
@@ -278,7 +278,7 @@
                 Outcome::NotRun
             };
         }
-        let told = known.progress.told(outcome);
+        let told = known.progress.reported_outcome(outcome);
         known.state = Use::Ended(fingerprint, Completion::new(told, answer));
         told
     }
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -1,7 +1,7 @@
 //! Sharing of workspace quotas among the instances.
 //!
 //! Each instance reports the demand for its active workspaces to the home of
-//! their shard in its zone every [`REPORT_MS`], and the home of a shard reports
+//! their shard in its zone every [`REPORT_INTERVAL_MS`], and the home of a shard reports
 //! the zone's demand to the home in the shard's lead zone. Answers are grants
 //! that lapse. See [`share`](crate::share) and [`split`](crate::split) for what
 //! a claimant may use and what a home may grant.
@@ -15,8 +15,8 @@
     bucket::Flow,
     ids::{Incarnation, InstanceName, WorkspaceName, ZoneName},
     limiter::{Admission, Limiter},
-    pace::{Pace, REPORT_MS},
     quota::{Claimant, LEAST_ZONE_FLOOR, Level, Part, Rate, UsageGrant, UsageReport, WorkspaceKey},
+    report_schedule::{REPORT_INTERVAL_MS, ReportSchedule},
     share::Share,
     topology::{SHARDS, Shard},
 };
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 struct ShardUsage {
     shard: Shard,
-    pace: Pace,
+    pace: ReportSchedule,
     share: Share,
     home: Option<HomeUsage>,
 }
@@ -47,7 +47,7 @@
     pub fn new(now_ms: u64, me: InstanceName, zone: ZoneName, incarnation: Incarnation) -> Self {
         let shard = |shard: Shard| ShardUsage {
             shard,
-            pace: Pace::new(now_ms, now_ms + first_ms(shard)),
+            pace: ReportSchedule::new(now_ms, now_ms + first_ms(shard)),
             share: Share::starting(now_ms),
             home: None,
         };
@@ -91,7 +91,9 @@
         };
         let admission = self.limiter.admit(now_ms, key, flow);
         if self.limiter.take_low() {
-            self.shards[usize::from(key.shard().0)].pace.urge();
+            self.shards[usize::from(key.shard().0)]
+                .pace
+                .request_urgent();
         }
         admission
     }
@@ -124,7 +126,7 @@
     }
 
     /// Returns the reports that are due. Shards take turns within
-    /// [`REPORT_MS`].
+    /// [`REPORT_INTERVAL_MS`].
     pub fn tick(&mut self, now_ms: u64) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
         for index in 0..self.shards.len() {
@@ -182,7 +184,7 @@
             Claimant::Instance => {
                 if shard.share.on_grant(now_ms, grant) {
                     for grant in grant.grants.iter().filter(|grant| grant.made_up > 0) {
-                        self.limiter.make_up(grant.key, grant.made_up);
+                        self.limiter.credit(grant.key, grant.made_up);
                     }
                 }
             }
@@ -319,5 +321,5 @@
 
 /// Shards take turns within the time between two reports.
 fn first_ms(shard: Shard) -> u64 {
-    u64::from(shard.0) * REPORT_MS / u64::from(SHARDS)
+    u64::from(shard.0) * REPORT_INTERVAL_MS / u64::from(SHARDS)
 }
--- a/crates/core/src/usage/home.rs
+++ b/crates/core/src/usage/home.rs
@@ -2,8 +2,8 @@
 
 use crate::{
     ids::{InstanceName, ZoneName},
-    pace::Pace,
     quota::{Demand, GRANT_MS, Grant, Level, Part, Rate, UsageReport, WorkspaceKey},
+    report_schedule::ReportSchedule,
     share::Share,
     split::{Divided, Split},
 };
@@ -20,7 +20,7 @@
     /// Time as home, told from earlier ones.
     pub(super) term: u64,
     /// Pace of the zone's reports to the lead.
-    pub(super) pace: Pace,
+    pub(super) pace: ReportSchedule,
     /// What the instances of the zone want and hold.
     pub(super) instances: Split<InstanceName>,
     /// What the lead granted to the zone.
@@ -56,7 +56,7 @@
     pub(super) fn new(now_ms: u64, term: u64) -> Self {
         Self {
             term,
-            pace: Pace::new(now_ms, now_ms),
+            pace: ReportSchedule::new(now_ms, now_ms),
             instances: Split::new(now_ms, INSTANCE_LAPSE_MS, Level::Instance),
             zone: Share::default(),
             lead: None,
@@ -86,7 +86,7 @@
             .on_report(now_ms, from, 0, &report.demands, divided);
         let is_short = |(grant, demand): (&Grant, &Demand)| grant.rate < demand.wanted;
         if grants.iter().zip(&report.demands).any(is_short) {
-            self.pace.urge();
+            self.pace.request_urgent();
         }
         Answer {
             term: self.term,
