--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -82,7 +82,7 @@
         admission: Admission::Off,
         hedging: Hedging::Off,
         fairness: Fairness::Off,
-        budgets: Budgets::WholeOnly,
+        budgets: Budgets::AtDeadline,
         affinity: Affinity::Off,
         retry_percent: 1_000,
         retry_burst: 1_000_000,
@@ -122,7 +122,7 @@
             ..settings
         },
         Part::Budgets => PolicySettings {
-            budgets: Budgets::WholeOnly,
+            budgets: Budgets::AtDeadline,
             ..settings
         },
         Part::Affinity => PolicySettings {
--- a/crates/core/src/cost.rs
+++ b/crates/core/src/cost.rs
@@ -74,7 +74,7 @@
 impl CostLedger {
     /// Adds the usage of one request; `is_wasted` if its caller got no complete
     /// response.
-    pub fn book(
+    pub fn record(
         &mut self,
         workspace: &WorkspaceName,
         pipeline: &PipelineName,
--- a/crates/core/src/execution/finish.rs
+++ b/crates/core/src/execution/finish.rs
@@ -39,7 +39,7 @@
     /// stage.
     pub(super) fn latest_start_ms(&self, stage_index: usize, context: &EventContext<'_>) -> u64 {
         let remaining_stages = match context.fleet.settings.budgets {
-            Budgets::WholeOnly => &[],
+            Budgets::AtDeadline => &[],
             Budgets::ByStage => &self.spec.pipeline.stages[stage_index..],
         };
         let needed_ms = context.fleet.fastest_ms(remaining_stages);
@@ -143,7 +143,7 @@
         self.state = State::Finished;
         let is_wasted = completion.outcome != Outcome::Complete;
         for usage in &self.usage {
-            context.fleet.costs.book(
+            context.fleet.costs.record(
                 &self.spec.workspace,
                 &self.spec.pipeline.name,
                 usage,
--- a/crates/core/src/placement/reconciler.rs
+++ b/crates/core/src/placement/reconciler.rs
@@ -97,7 +97,7 @@
     }
 
     /// Records calls that this instance sent for a model.
-    pub fn note_calls(&mut self, model: &ModelName, calls: u64) {
+    pub fn record_calls(&mut self, model: &ModelName, calls: u64) {
         self.demand.record_calls(model, calls);
     }
 
--- a/crates/core/src/placer.rs
+++ b/crates/core/src/placer.rs
@@ -226,7 +226,7 @@
         let Some(record) = &received.record else {
             return;
         };
-        let effect = self.election.take(received.offset, record);
+        let effect = self.election.apply(received.offset, record);
         if effect == RecordEffect::NoEffect {
             return;
         }
--- a/crates/core/src/placer/election.rs
+++ b/crates/core/src/placer/election.rs
@@ -46,7 +46,7 @@
 
     /// Applies the record at `offset`. Records must be applied in order; the
     /// first may be any record of the stream.
-    pub fn take(&mut self, offset: Offset, record: &PlacerRecord) -> RecordEffect {
+    pub fn apply(&mut self, offset: Offset, record: &PlacerRecord) -> RecordEffect {
         match record {
             PlacerRecord::Claim {
                 expected,
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -73,7 +73,7 @@
             max_attempts: 3,
             retry_percent: 10,
             retry_burst: 10,
-            reports: Reports::Fading,
+            reports: Reports::Decaying,
             report_max_age_ms: 5_000,
             default_retry_after_ms: 1_000,
         }
@@ -124,7 +124,7 @@
     /// At full weight until they are too old.
     Trusted,
     /// At a weight that decays as calls end and are replaced.
-    Fading,
+    Decaying,
 }
 
 /// Whether failing backend servers are ejected temporarily.
@@ -168,7 +168,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Budgets {
     /// At its deadline.
-    WholeOnly,
+    AtDeadline,
     /// As soon as its remaining stages could not meet the deadline even at
     /// their shortest expected times.
     ByStage,
--- a/crates/core/tests/placement_world/mod.rs
+++ b/crates/core/tests/placement_world/mod.rs
@@ -313,7 +313,7 @@
             let demand = demand(self.now_ms);
             for (name, slots) in &demand {
                 self.reconciler
-                    .note_calls(&(*name).into(), (slots * 10.0) as u64);
+                    .record_calls(&(*name).into(), (slots * 10.0) as u64);
             }
             self.engines.set_demand(&demand);
             self.engines.advance(self.now_ms);
--- a/crates/core/tests/placer_election.rs
+++ b/crates/core/tests/placer_election.rs
@@ -167,7 +167,7 @@
         let heard: Vec<_> = (0u64..)
             .zip(&records)
             .skip(skip)
-            .map(|(offset, record)| election.take(Offset(offset), record))
+            .map(|(offset, record)| election.apply(Offset(offset), record))
             .collect();
         (election.holder().cloned(), heard)
     };
--- a/crates/server/src/placement.rs
+++ b/crates/server/src/placement.rs
@@ -72,7 +72,7 @@
     loop {
         ticks.tick().await;
         for (model, calls) in std::mem::take(&mut *shared.placement.calls()) {
-            reconciler.note_calls(&model, calls);
+            reconciler.record_calls(&model, calls);
         }
         let now_ms = shared.clock.now_ms();
         let has_started = shared.configuration.progress(now_ms).has_started;
