--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A small deployment and a request to drive through it.
-#![allow(dead_code)] // each test file uses a part
+//! A small deployment and a driver for a request in it.
+#![allow(dead_code)] // each test file uses only some of the helpers
 
 use std::sync::Arc;
 
@@ -44,7 +44,8 @@
     }
 }
 
-/// Three backend servers each of `search`, `write` and `pay`.
+/// Creates a fleet with three backend servers in each of the pools `search`,
+/// `write` and `pay`.
 pub fn fleet(settings: PolicySettings) -> Fleet {
     let pools = [
         pool("search", StageKind::Retrieve),
@@ -79,7 +80,7 @@
     }
 }
 
-/// One request and what has come of it so far.
+/// A request and the actions that it has produced so far.
 pub struct Driver {
     pub fleet: Fleet,
     pub execution: Execution,
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Hands in an event and returns the actions that followed.
+    /// Handles an event and returns the resulting actions.
     pub fn on(&mut self, now_ms: u64, event: Event) -> Vec<Action> {
         let actions = self.execution.on_event(now_ms, event, &mut self.fleet);
         self.actions.extend(actions.iter().cloned());
--- a/crates/core/tests/execution_connections.rs
+++ b/crates/core/tests/execution_connections.rs
@@ -1,5 +1,4 @@
-//! Calls whose connection is known to be dead, and pools in which no backend
-//! server is well.
+//! Tests calls on dead connections and pools without a healthy backend server.
 
 mod common;
 
@@ -23,7 +22,7 @@
     }
 }
 
-fn names(fleet: &Fleet) -> HashSet<BackendName> {
+fn server_names(fleet: &Fleet) -> HashSet<BackendName> {
     fleet.statuses(0).map(|status| status.name).collect()
 }
 
@@ -32,7 +31,7 @@
 }
 
 #[test]
-fn a_severed_call_is_repeated_at_once_and_without_charge() {
+fn a_severed_call_is_retried_at_once_without_charging_the_budget() {
     let mut driver = Driver::with(spec(vec![stage("search", true)]), without_retries());
     let (first, call) = driver.start();
     let attempt = call.id.attempt;
@@ -46,7 +45,7 @@
 }
 
 #[test]
-fn a_severed_call_that_may_not_be_repeated_is_waited_for() {
+fn a_severed_non_idempotent_call_is_waited_for() {
     let mut driver = Driver::new(vec![stage("pay", false)]);
     let (_, call) = driver.start();
     let attempt = call.id.attempt;
@@ -60,9 +59,9 @@
 }
 
 #[test]
-fn what_the_list_calls_leaving_gets_nothing_whatever_it_says_itself() {
+fn listed_leaving_servers_get_no_calls_whatever_they_report() {
     let mut fleet = fleet(PolicySettings::default());
-    let all = names(&fleet);
+    let all = server_names(&fleet);
     fleet.on_listed_leaving(&all);
     for server in &all {
         let report = LoadReport {
@@ -84,7 +83,7 @@
 }
 
 #[test]
-fn the_last_server_of_a_pool_is_tried_although_it_failed() {
+fn the_last_server_of_a_pool_gets_calls_although_it_failed() {
     let settings = PolicySettings {
         max_attempts: 1,
         ..PolicySettings::default()
@@ -112,7 +111,7 @@
 }
 
 #[test]
-fn time_that_is_read_out_of_order_does_no_harm() {
+fn timestamps_out_of_order_do_not_break_execution() {
     let mut driver = Driver::with(spec(vec![stage("search", true)]), without_retries());
     for now_ms in [5, 3, 4, 2] {
         driver.execution = Execution::new(spec(vec![stage("search", true)]), now_ms);
--- a/crates/core/tests/execution_interleavings.rs
+++ b/crates/core/tests/execution_interleavings.rs
@@ -1,5 +1,6 @@
-//! Late, duplicate, reordered and mislabelled events in any order: nothing is
-//! mixed, nothing that may not be repeated is doubled, every outcome is true.
+//! Tests late, duplicate, reordered and mislabelled events in any order:
+//! responses are never mixed up, non-idempotent calls never run twice, and
+//! every reported outcome is correct.
 
 mod common;
 
@@ -14,22 +15,22 @@
     settings::PolicySettings,
 };
 
-/// How far a call may be known to have come.
+/// Whether a call may have run, as known from its events.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum CallFate {
     MayRun,
     NeverRan { reached_socket: bool },
 }
 
-struct Trial {
+struct Scenario {
     driver: Driver,
     now_ms: u64,
-    fates: HashMap<u64, Fate>,
+    call_fates: HashMap<u64, CallFate>,
     checked_sends: usize,
-    past: Vec<Event>,
+    past_events: Vec<Event>,
 }
 
-impl Trial {
+impl Scenario {
     fn new() -> Self {
         let stages = vec![
             stage("search", true),
@@ -42,42 +43,43 @@
         };
         let mut driver = Driver::with(spec(stages), settings);
         for pool in ["search", "write", "pay"] {
-            make_times_known(&mut driver, pool);
+            record_call_times(&mut driver, pool);
         }
         Self {
             driver,
             now_ms: 0,
-            fates: HashMap::new(),
+            call_fates: HashMap::new(),
             checked_sends: 0,
-            past: Vec::new(),
+            past_events: Vec::new(),
         }
     }
 
-    fn hand_in(&mut self, event: Event) -> Result<(), String> {
+    fn handle(&mut self, event: Event) -> Result<(), String> {
         let was_finished = self.driver.execution.is_finished();
-        self.past.push(event.clone());
+        self.past_events.push(event.clone());
         let actions = self.driver.on(self.now_ms, event);
-        let is_quiet =
+        let is_allowed =
             |action: &Action| matches!(action, Action::Discard { .. } | Action::Cancel { .. });
-        if was_finished && !actions.iter().all(is_quiet) {
-            return Err(format!("acted after its end: {actions:?}"));
+        if was_finished && !actions.iter().all(is_allowed) {
+            return Err(format!("actions after the end:  {actions:?}"));
         }
         self.check_sends()
     }
 
-    /// No call of a stage that may not be repeated follows one that may run.
+    /// Checks that no call of a non-idempotent stage follows one that may have
+    /// run.
     fn check_sends(&mut self) -> Result<(), String> {
         let sends = self.driver.sends();
         for (_, call) in &sends[self.checked_sends..] {
-            let doubled = sends.iter().any(|(_, earlier)| {
+            let is_duplicate = sends.iter().any(|(_, earlier)| {
                 earlier.id.stage == call.id.stage
                     && earlier.id.attempt < call.id.attempt
-                    && self.fates.get(&earlier.id.attempt) == Some(&Fate::MayRun)
+                    && self.call_fates.get(&earlier.id.attempt) == Some(&CallFate::MayRun)
             });
-            if doubled && call.id.stage.as_str() == "pay" {
-                return Err(format!("doubled: {:?}", call.id));
+            if is_duplicate && call.id.stage.as_str() == "pay" {
+                return Err(format!("duplicate call: {:?}", call.id));
             }
-            self.fates.insert(call.id.attempt, Fate::MayRun);
+            self.call_fates.insert(call.id.attempt, CallFate::MayRun);
             self.check_previous(call)?;
         }
         self.checked_sends = sends.len();
@@ -94,11 +96,11 @@
         if text.starts_with(&format!("request-1/{earlier_stage}/")) {
             Ok(())
         } else {
-            Err(format!("mixed: {text} went into {:?}", call.id))
+            Err(format!("mixed up: {text} was passed to {:?}", call.id))
         }
     }
 
-    /// Plays one step; `choice` says what happens and `pick` to which call.
+    /// Executes one step; `choice` selects the event and `pick` the call.
     fn step(&mut self, choice: u8, pick: usize) -> Result<(), String> {
         self.now_ms += 1;
         let sends = self.driver.sends();
@@ -114,31 +116,31 @@
             7 => Event::Silent { attempt },
             8 => done_for(call, &mislabelled(&id, pick)),
             9 => next_token(call, &mislabelled(&id, pick), pick),
-            10 => self.past[pick % self.past.len()].clone(),
+            10 => self.past_events[pick % self.past_events.len()].clone(),
             11 => self.not_run(attempt, false),
             12 => self.not_run(attempt, true),
             _ => {
-                // Long enough for every open call to be overdue.
+                // Long enough for every open call to become overdue.
                 self.now_ms += 100;
                 Event::Timer
             }
         };
-        self.hand_in(event)
+        self.handle(event)
     }
 
-    /// A call that the transport says did not run, unless it has said
-    /// otherwise before.
+    /// Returns the event that a call did not run, unless an earlier event
+    /// contradicts it.
     fn not_run(&mut self, attempt: u64, reached_socket: bool) -> Event {
-        let has_answered = self.past.iter().any(|event| match event {
-            Event::Answered(answer) => answer.id().attempt == attempt,
+        let has_responded = self.past_events.iter().any(|event| match event {
+            Event::Answered(response) => response.id().attempt == attempt,
             Event::Lost { attempt: lost } => *lost == attempt,
             _ => false,
         });
-        if has_answered || self.fates[&attempt] != Fate::MayRun {
+        if has_responded || self.call_fates[&attempt] != CallFate::MayRun {
             return Event::Timer;
         }
-        self.fates
-            .insert(attempt, Fate::NeverRan { reached_socket });
+        self.call_fates
+            .insert(attempt, CallFate::NeverRan { reached_socket });
         let reason = RefusalReason::Full;
         if reached_socket {
             Event::Refused {
@@ -159,7 +161,7 @@
             .filter(|action| matches!(action, Action::Finish(_)))
             .count();
         if finishes != 1 {
-            return Err(format!("{finishes} final answers"));
+            return Err(format!("{finishes} final responses"));
         }
         self.check_tokens()?;
         self.check_outcome()
@@ -178,36 +180,37 @@
         let completion = self.driver.completion().expect("it ended");
         let sends = self.driver.sends();
         let pay_may_run = sends.iter().any(|(_, call)| {
-            call.id.stage.as_str() == "pay" && self.fates[&call.id.attempt] == Fate::MayRun
+            call.id.stage.as_str() == "pay" && self.call_fates[&call.id.attempt] == CallFate::MayRun
         });
-        let nothing_reached = self.fates.values().all(|fate| {
-            *fate
-                == Fate::NeverRan {
+        let nothing_sent = self.call_fates.values().all(|call_fate| {
+            *call_fate
+                == CallFate::NeverRan {
                     reached_socket: false,
                 }
         });
-        let is_true = match completion.outcome {
+        let is_correct = match completion.outcome {
             Outcome::Complete => completion
                 .output
                 .as_ref()
                 .and_then(|output| output.as_str())
                 .is_some_and(|text| text.starts_with("request-1/write/")),
-            Outcome::NotRun => nothing_reached,
+            Outcome::NotRun => nothing_sent,
             Outcome::NotStarted => false,
-            Outcome::Failed => !pay_may_run && !nothing_reached,
+            Outcome::Failed => !pay_may_run && !nothing_sent,
             Outcome::Unknown => pay_may_run,
         };
-        let whole = completion.outcome != Outcome::Complete || self.driver.emitted().len() == 2;
-        if is_true && whole {
+        let is_whole = completion.outcome != Outcome::Complete || self.driver.emitted().len() == 2;
+        if is_correct && is_whole {
             Ok(())
         } else {
-            Err(format!("untrue: {completion:?}"))
+            Err(format!("incorrect outcome: {completion:?}"))
         }
     }
 }
 
-/// Runs requests of 1 ms through a pool, after which later calls are overdue.
-fn make_times_known(driver: &mut Driver, pool: &str) {
+/// Runs requests of 1 ms through a pool, so that later calls can become
+/// overdue.
+fn record_call_times(driver: &mut Driver, pool: &str) {
     for _ in 0..20 {
         let spec = spec(vec![stage(pool, true)]);
         let mut execution = Execution::new(spec, 0);
@@ -235,35 +238,35 @@
     token(id, index, &format!("t{index}"))
 }
 
-/// Changes one of the three identifiers.
+/// Returns the identifiers of a call with one of them changed.
 fn mislabelled(id: &CallId, pick: usize) -> CallId {
-    let mut wrong = id.clone();
+    let mut mislabelled_id = id.clone();
     match pick % 3 {
-        0 => wrong.request = "request-2".into(),
-        1 if id.stage.as_str() == "write" => wrong.stage = "pay".into(),
-        1 => wrong.stage = "write".into(),
-        _ => wrong.attempt += 1_000,
+        0 => mislabelled_id.request = "request-2".into(),
+        1 if id.stage.as_str() == "write" => mislabelled_id.stage = "pay".into(),
+        1 => mislabelled_id.stage = "write".into(),
+        _ => mislabelled_id.attempt += 1_000,
     }
-    wrong
+    mislabelled_id
 }
 
-fn play(steps: &[(u8, usize)]) -> Result<(), String> {
-    let mut trial = Trial::new();
-    trial.hand_in(Event::Start)?;
+fn run_steps(steps: &[(u8, usize)]) -> Result<(), String> {
+    let mut scenario = Scenario::new();
+    scenario.handle(Event::Start)?;
     for (choice, pick) in steps {
-        trial.step(*choice, *pick)?;
+        scenario.step(*choice, *pick)?;
     }
-    trial.now_ms = DEADLINE_MS;
-    trial.hand_in(Event::Timer)?;
-    trial.check_end()
+    scenario.now_ms = DEADLINE_MS;
+    scenario.handle(Event::Timer)?;
+    scenario.check_end()
 }
 
 #[test]
-fn any_interleaving_keeps_the_promises() {
+fn any_interleaving_yields_correct_outcomes() {
     fn property(steps: Vec<(u8, usize)>) -> TestResult {
-        match play(&steps) {
+        match run_steps(&steps) {
             Ok(()) => TestResult::passed(),
-            Err(broken) => TestResult::error(broken),
+            Err(violation) => TestResult::error(violation),
         }
     }
     QuickCheck::new()
--- a/crates/core/tests/execution_outcomes.rs
+++ b/crates/core/tests/execution_outcomes.rs
@@ -1,4 +1,4 @@
-//! Each way in which a request can end, and the outcome that is true of it.
+//! Tests each way in which a request can end and the outcome reported for it.
 
 mod common;
 
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_call_that_did_not_run_goes_elsewhere_even_if_not_idempotent() {
+fn a_call_that_did_not_run_is_retried_even_if_not_idempotent() {
     let mut driver = Driver::new(vec![stage("pay", false)]);
     let (first, call) = driver.start();
     let attempt = call.id.attempt;
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_deadline_that_passes_ends_the_request_truthfully() {
+fn a_passed_deadline_ends_the_request_with_the_correct_outcome() {
     for (idempotent, expected) in [(true, Outcome::Failed), (false, Outcome::Unknown)] {
         let mut driver = Driver::new(vec![stage("pay", idempotent)]);
         driver.start();
@@ -128,16 +128,16 @@
     driver.on(6, token(&call.id, 1, "b"));
     let attempt = call.id.attempt;
     driver.on(7, Event::Lost { attempt });
-    let (_, again) = driver.last_send();
-    assert_eq!(again.resume_from, 2);
-    driver.on(8, token(&again.id, 2, "c"));
-    driver.on(9, done(&again.id, "abc", 3));
+    let (_, resumed) = driver.last_send();
+    assert_eq!(resumed.resume_from, 2);
+    driver.on(8, token(&resumed.id, 2, "c"));
+    driver.on(9, done(&resumed.id, "abc", 3));
     assert_eq!(outcome(&driver), Some(Outcome::Complete));
     assert_eq!(driver.emitted(), ["a", "b", "c"]);
 }
 
 #[test]
-fn a_truncated_stream_is_never_given_as_whole() {
+fn a_truncated_stream_is_never_reported_as_complete() {
     let mut driver = Driver::new(vec![stage("write", true)]);
     let (_, call) = driver.start();
     driver.on(5, token(&call.id, 0, "a"));
@@ -147,14 +147,14 @@
 }
 
 #[test]
-fn a_silent_idempotent_call_is_raced_and_the_first_answer_wins() {
+fn a_silent_idempotent_call_is_hedged_and_the_first_response_wins() {
     let mut driver = Driver::new(vec![stage("search", true)]);
     let (first, call) = driver.start();
     let attempt = call.id.attempt;
     driver.on(5, Event::Silent { attempt });
-    let (second, raced) = driver.last_send();
+    let (second, hedge) = driver.last_send();
     assert_ne!(first, second);
-    driver.on(9, done(&raced.id, "found", 0));
+    driver.on(9, done(&hedge.id, "found", 0));
     assert_eq!(outcome(&driver), Some(Outcome::Complete));
     let late = driver.on(10, done(&call.id, "late", 0));
     let reason = DiscardReason::Late;
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_caller_that_goes_stops_only_what_has_no_effect() {
+fn a_disconnected_caller_stops_only_requests_without_effects() {
     let mut driver = Driver::new(vec![stage("search", true), stage("pay", false)]);
     let (_, search) = driver.start();
     driver.on(10, done(&search.id, "found", 0));
--- a/crates/core/tests/execution_refusals.rs
+++ b/crates/core/tests/execution_refusals.rs
@@ -1,5 +1,5 @@
-//! Refusals by backend servers: they cost no retry, the server that refused is
-//! avoided, and when all refuse the answer comes at once.
+//! Tests refusals by backend servers: they use no retry budget, a refusing
+//! server is avoided, and a request fails at once when all servers refuse.
 
 mod common;
 
@@ -13,9 +13,9 @@
     settings::PolicySettings,
 };
 
-/// What came of one request, each of whose calls is refused by some servers and
-/// answered by the others at once.
-struct Ran {
+/// The result of a request whose calls are refused by some servers and
+/// completed at once by the others.
+struct RunResult {
     tried: Vec<BackendName>,
     completion: Completion,
 }
@@ -27,18 +27,24 @@
     })
 }
 
-fn run(fleet: &mut Fleet, now_ms: u64, pool: &str, refusing: &[&str], why: RefusalReason) -> Ran {
-    run_with_backoff(fleet, now_ms, pool, refusing, (why, None))
+fn run(
+    fleet: &mut Fleet,
+    now_ms: u64,
+    pool: &str,
+    refusing: &[&str],
+    refusal_reason: RefusalReason,
+) -> RunResult {
+    run_with_backoff(fleet, now_ms, pool, refusing, (refusal_reason, None))
 }
 
-/// Runs one request; those that refuse ask for backoff, if they do, for a time in ms.
+/// Runs one request; refusing servers request the given backoff in ms, if any.
 fn run_with_backoff(
     fleet: &mut Fleet,
     now_ms: u64,
     pool: &str,
     refusing: &[&str],
-    (why, retry_after_ms): (RefusalReason, Option<u64>),
-) -> Ran {
+    (refusal_reason, retry_after_ms): (RefusalReason, Option<u64>),
+) -> RunResult {
     let spec = ExecutionSpec {
         deadline_at_ms: now_ms + DEADLINE_MS,
         ..spec(vec![stage(pool, pool != "pay")])
@@ -51,7 +57,7 @@
         let event = match refusing.contains(&backend.as_str()) {
             true => Event::Refused {
                 attempt,
-                reason: why,
+                reason: refusal_reason,
                 retry_after_ms,
             },
             false => done(&call.id, "found", 0),
@@ -63,23 +69,26 @@
         Action::Finish(completion) => Some(*completion),
         _ => None,
     });
-    Ran {
+    RunResult {
         tried,
         completion: finish.expect("it ends with its last event"),
     }
 }
 
 #[test]
-fn a_server_that_asks_for_backoff_gets_no_call_until_that_has_ended() {
+fn a_server_that_requests_backoff_gets_no_call_until_it_has_ended() {
     const BACKOFF_MS: u64 = 3_000;
     let mut fleet = fleet(PolicySettings::default());
     let refusal = (RefusalReason::Full, Some(BACKOFF_MS));
     let mut tried_ms = Vec::new();
     for now_ms in (0..10_000).step_by(5) {
-        let ran = run_with_backoff(&mut fleet, now_ms, "search", &["search-0"], refusal);
-        assert_eq!(ran.completion.outcome, Outcome::Complete);
-        let is_tried = ran.tried.iter().any(|tried| tried.as_str() == "search-0");
-        tried_ms.extend(is_tried.then_some(now_ms));
+        let result = run_with_backoff(&mut fleet, now_ms, "search", &["search-0"], refusal);
+        assert_eq!(result.completion.outcome, Outcome::Complete);
+        let was_tried = result
+            .tried
+            .iter()
+            .any(|tried| tried.as_str() == "search-0");
+        tried_ms.extend(was_tried.then_some(now_ms));
     }
     assert!(tried_ms.len() > 1, "it is tried again");
     for pair in tried_ms.windows(2) {
@@ -89,7 +98,7 @@
 
 #[test]
 fn a_refusal_costs_no_request_while_another_server_is_free() {
-    for why in [
+    for refusal_reason in [
         RefusalReason::Full,
         RefusalReason::NoModel,
         RefusalReason::Leaving,
@@ -99,11 +108,11 @@
             let refusing: Vec<&str> = refusing.iter().map(String::as_str).collect();
             let mut fleet = fleet(PolicySettings::default());
             for now_ms in (0..10_000).step_by(5) {
-                let ran = run(&mut fleet, now_ms, pool, &refusing, why);
+                let result = run(&mut fleet, now_ms, pool, &refusing, refusal_reason);
                 assert_eq!(
-                    ran.completion.outcome,
+                    result.completion.outcome,
                     Outcome::Complete,
-                    "{now_ms} {why:?}"
+                    "{now_ms} {refusal_reason:?}"
                 );
             }
         }
@@ -115,39 +124,44 @@
     let mut fleet = fleet(PolicySettings::default());
     let mut refused_at_ms = Vec::new();
     for now_ms in 0..10_000 {
-        let ran = run(
+        let result = run(
             &mut fleet,
             now_ms,
             "search",
             &["search-0"],
             RefusalReason::Full,
         );
-        if ran.tried.iter().any(|name| name.as_str() == "search-0") {
+        if result.tried.iter().any(|name| name.as_str() == "search-0") {
             refused_at_ms.push(now_ms);
         }
     }
-    // 50 ms doubled up to 3.2 s.
+    // The avoidance time doubles from 50 ms up to 3.2 s.
     assert!((7..=9).contains(&refused_at_ms.len()), "{refused_at_ms:?}");
-    let asked = (10_000..14_000)
+    let call_count = (10_000..14_000)
         .filter(|now_ms| {
-            let ran = run(&mut fleet, *now_ms, "search", &[], RefusalReason::Full);
-            ran.tried[0].as_str() == "search-0"
+            let result = run(&mut fleet, *now_ms, "search", &[], RefusalReason::Full);
+            result.tried[0].as_str() == "search-0"
         })
         .count();
-    assert!(asked >= 200, "{asked} after it takes calls again");
+    assert!(call_count >= 200, "{call_count} after it takes calls again");
 }
 
 #[test]
-fn when_all_refuse_each_is_asked_once_and_the_answer_comes_at_once() {
+fn when_all_servers_refuse_each_is_tried_once_and_the_request_fails_at_once() {
     let mut fleet = fleet(PolicySettings::default());
     let all = ["search-0", "search-1", "search-2"];
     for now_ms in (0..2_000).step_by(25) {
-        let ran = run(&mut fleet, now_ms, "search", &all, RefusalReason::Full);
-        let mut tried = ran.tried.clone();
+        let result = run(&mut fleet, now_ms, "search", &all, RefusalReason::Full);
+        let mut tried = result.tried.clone();
         tried.sort();
         tried.dedup();
-        assert_eq!(tried.len(), ran.tried.len(), "none is asked twice");
-        assert_eq!(ran.completion.outcome, Outcome::Failed);
-        assert!(ran.completion.retry_after_ms.is_some_and(|ms| ms >= 1_000));
+        assert_eq!(tried.len(), result.tried.len(), "none is asked twice");
+        assert_eq!(result.completion.outcome, Outcome::Failed);
+        assert!(
+            result
+                .completion
+                .retry_after_ms
+                .is_some_and(|ms| ms >= 1_000)
+        );
     }
 }
--- a/crates/core/tests/execution_streams.rs
+++ b/crates/core/tests/execution_streams.rs
@@ -1,5 +1,5 @@
-//! Streams that are cut off again and again: they are resumed at the token
-//! reached as long as they make progress, and their servers stay in use.
+//! Tests streams that are cut off repeatedly: they are resumed at the next
+//! token as long as they make progress, and their servers stay in use.
 
 mod common;
 
@@ -13,8 +13,8 @@
 
 const TOKENS: u32 = 16;
 
-/// Runs one request whose every call is cut off after some tokens. Returns its
-/// outcome and its number of calls.
+/// Runs one request whose calls are each cut off after `tokens_per_call`
+/// tokens. Returns its outcome and its number of calls.
 fn run(fleet: &mut Fleet, now_ms: u64, tokens_per_call: u32) -> (Outcome, u32) {
     let spec = ExecutionSpec {
         deadline_at_ms: now_ms + DEADLINE_MS,
@@ -37,11 +37,11 @@
         }
         let call = sent.expect("a call is sent or the request has ended");
         calls += 1;
-        let end = (call.resume_from + tokens_per_call).min(TOKENS);
-        for index in call.resume_from..end {
+        let end_index = (call.resume_from + tokens_per_call).min(TOKENS);
+        for index in call.resume_from..end_index {
             execution.on_event(now_ms, token(&call.id, index, "a"), fleet);
         }
-        let event = match end == TOKENS {
+        let event = match end_index == TOKENS {
             true => done(&call.id, "whole", TOKENS),
             false => Event::Lost {
                 attempt: call.id.attempt,
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_stream_that_makes_little_progress_counts_against_the_attempts() {
+fn calls_with_little_progress_count_as_attempts() {
     let mut fleet = fleet(PolicySettings::default());
     for now_ms in (0..3_000).step_by(25) {
         let (outcome, calls) = run(&mut fleet, now_ms, 1);
--- a/crates/core/tests/placement_moves.rs
+++ b/crates/core/tests/placement_moves.rs
@@ -1,5 +1,5 @@
-//! Which engine holds which model: configured replicas, demand, the weight
-//! store's budget, no flapping, and the last replica in use.
+//! Tests placement: configured replicas, demand, the budget of the weight
+//! store, absence of flapping, and the last replica of a model in use.
 
 mod placement_world;
 
@@ -19,7 +19,7 @@
     QuickCheck::new().rng(rng).tests(tests).max_tests(tests)
 }
 
-fn idle(_: u64) -> Vec<(&'static str, f64)> {
+fn no_demand(_: u64) -> Vec<(&'static str, f64)> {
     Vec::new()
 }
 
@@ -33,22 +33,23 @@
         ];
         let objects = Objects::new(fencing, 6, &models);
         let mut world = World::new(objects, PlacementSettings::default());
-        world.run(MINUTE_MS, idle);
-        // A model that a pipeline uses has a replica although none is configured.
+        world.run(MINUTE_MS, no_demand);
+        // A model that a pipeline uses has a replica even if none is
+        // configured.
         let replicas = ["chat", "draft", "letters"].map(|name| world.engines.replicas(name));
         assert_eq!(replicas, [3, 2, 1]);
-        assert_eq!(world.engines.most_loading, 2);
+        assert_eq!(world.engines.max_concurrent_loads, 2);
         let moves = world.moves(0);
-        world.run(10 * MINUTE_MS, idle);
-        assert_eq!(world.moves(0), moves, "nothing is left to do");
+        world.run(10 * MINUTE_MS, no_demand);
+        assert_eq!(world.moves(0), moves, "no moves remain");
     }
 }
 
 #[test]
-fn what_an_engine_lost_or_left_is_loaded_again() {
+fn replicas_lost_with_an_engine_are_loaded_again() {
     let objects = Objects::new(Fencing::Checked, 3, &[("chat", 1_000, 2)]);
     let mut world = World::new(objects, PlacementSettings::default());
-    world.run(MINUTE_MS, idle);
+    world.run(MINUTE_MS, no_demand);
     let holder = |world: &World| {
         let chat = "chat".into();
         let mut engines = world.engines.engines.iter();
@@ -56,50 +57,50 @@
     };
     let first = holder(&world);
     world.engines.engines[first].models.clear();
-    world.run(MINUTE_MS, idle);
+    world.run(MINUTE_MS, no_demand);
     assert_eq!(world.engines.replicas("chat"), 2);
     let second = holder(&world);
     world.engines.engines[second].is_leaving = true;
-    world.run(MINUTE_MS, idle);
+    world.run(MINUTE_MS, no_demand);
     assert_eq!(world.engines.replicas("chat"), 2);
     let third = holder(&world);
     world.engines.engines[third].is_dead = true;
     world.engines.engines[second].is_leaving = false;
-    world.run(MINUTE_MS, idle);
+    world.run(MINUTE_MS, no_demand);
     assert_eq!(world.engines.replicas("chat"), 2);
 }
 
 #[test]
 fn lost_orders_are_repeated_and_a_stuck_engine_is_passed_over() {
-    for (lost_orders, lost_answers) in [(3, 0), (0, 3), (2, 2)] {
+    for (lost_orders, lost_responses) in [(3, 0), (0, 3), (2, 2)] {
         let objects = Objects::new(Fencing::Ignored, 1, &[("chat", 1_000, 1)]);
         let mut world = World::new(objects, PlacementSettings::default());
         world.engines.lost_orders = lost_orders;
-        world.engines.lost_answers = lost_answers;
-        world.run(MINUTE_MS, idle);
+        world.engines.lost_responses = lost_responses;
+        world.run(MINUTE_MS, no_demand);
         assert_eq!(world.engines.replicas("chat"), 1);
     }
     let objects = Objects::new(Fencing::Ignored, 2, &[("chat", 1_000, 1)]);
     for stuck in 0..2 {
         let mut world = World::new(objects.clone(), PlacementSettings::default());
         world.engines.engines[stuck].is_stuck = true;
-        world.run(MINUTE_MS, idle);
+        world.run(MINUTE_MS, no_demand);
         assert_eq!(world.engines.replicas("chat"), 1, "engine-{stuck} is stuck");
     }
 }
 
 #[test]
-fn an_engine_that_answers_no_order_is_not_asked_each_second() {
+fn an_engine_without_responses_is_not_ordered_each_second() {
     let objects = Objects::new(Fencing::Ignored, 1, &[("chat", 1_000, 1)]);
     let mut world = World::new(objects, PlacementSettings::default());
     world.engines.lost_orders = u32::MAX;
-    world.run(MINUTE_MS, idle);
+    world.run(MINUTE_MS, no_demand);
     let loads = world.kinds(MoveKind::Load).len();
     assert!((5..=12).contains(&loads), "{loads} loads ordered");
 }
 
 #[test]
-fn demand_that_shifts_takes_its_engines_along() {
+fn engines_follow_shifting_demand() {
     let objects = Objects::new(
         Fencing::Checked,
         6,
@@ -119,7 +120,7 @@
     assert_eq!(world.faults, Vec::<String>::new());
 }
 
-/// A move starts only after demand was high for as long as the load takes.
+/// A move starts only after demand has been high for as long as the load takes.
 #[test]
 fn a_short_burst_moves_nothing_and_a_costly_move_waits_longer() {
     for (size_mb, burst_ms, moves) in [(1_000, 12_000, 0), (90_000, 60_000, 0)] {
@@ -138,7 +139,7 @@
 
 #[test]
 fn noisy_demand_does_not_flap() {
-    fn law(seed: u64) -> Result<(), String> {
+    fn property(seed: u64) -> Result<(), String> {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let names = ["chat", "draft", "letters"];
         let means = names.map(|_| rng.random_range(1.0..16.0));
@@ -150,20 +151,22 @@
             .collect();
         let objects = Objects::new(Fencing::Checked, 6, &models);
         let mut world = World::new(objects, PlacementSettings::default());
-        let mut noisy = |_| {
+        let mut noisy_demand = |_| {
             let at = names.iter().zip(means);
             at.map(|(name, mean)| (*name, mean * rng.random_range(0.2..1.8)))
                 .collect()
         };
-        world.run(20 * MINUTE_MS, &mut noisy);
+        world.run(20 * MINUTE_MS, &mut noisy_demand);
         let settled_ms = world.now_ms;
-        world.run(60 * MINUTE_MS, &mut noisy);
-        // A replica may still be added, but nothing goes to and fro.
-        let late = world
+        world.run(60 * MINUTE_MS, &mut noisy_demand);
+        // A replica may still be added, but none is unloaded.
+        let late_decisions = world
             .decisions
             .iter()
             .filter(|(at_ms, _)| *at_ms >= settled_ms);
-        let unloads = late.filter(|(_, x)| x.kind == MoveKind::Unload).count();
+        let unloads = late_decisions
+            .filter(|(_, x)| x.kind == MoveKind::Unload)
+            .count();
         match (unloads, world.moves(settled_ms)) {
             (0, 0..=4) => Ok(()),
             (_, moves) => Err(format!(
@@ -171,7 +174,7 @@
             )),
         }
     }
-    seeded(24).quickcheck(law as fn(_) -> _);
+    seeded(24).quickcheck(property as fn(_) -> _);
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -181,7 +184,7 @@
     Kill { at: usize },
     Revive { at: usize },
     Leave { at: usize },
-    Replicas { model: usize, least: u32 },
+    Replicas { model: usize, min_replicas: u32 },
 }
 
 impl Arbitrary for Op {
@@ -200,7 +203,7 @@
             7 => Self::Leave { at },
             _ => Self::Replicas {
                 model,
-                least: u32::arbitrary(g) % 4,
+                min_replicas: u32::arbitrary(g) % 4,
             },
         }
     }
@@ -209,7 +212,7 @@
 #[test]
 fn the_last_replica_in_use_stays_and_configured_ones_come_back() {
     const NAMES: [&str; 3] = ["chat", "draft", "letters"];
-    fn law(ops: Vec<Op>) -> Result<(), String> {
+    fn property(ops: Vec<Op>) -> Result<(), String> {
         let models = NAMES.map(|name| (name, 2_000, 1));
         let settings = PlacementSettings {
             models_per_engine: 2,
@@ -224,7 +227,7 @@
                 Op::Demand { model, slots } => demand[model].1 = f64::from(slots),
                 Op::Kill { at } => {
                     world.engines.engines[at].is_dead = true;
-                    // Until this is noticed, its replicas count.
+                    // Its replicas count until the loss is detected.
                     world.run(30_000, |_| demand.to_vec());
                     world.faults.clear();
                 }
@@ -234,36 +237,39 @@
                     world.run(2_000, |_| demand.to_vec());
                     world.faults.clear();
                 }
-                Op::Replicas { model, least } => world.objects.models[model].min_replicas = least,
+                Op::Replicas {
+                    model,
+                    min_replicas,
+                } => world.objects.models[model].min_replicas = min_replicas,
             }
         }
         for engine in &mut world.engines.engines {
             engine.revive();
         }
         world.run(5 * MINUTE_MS, |_| demand.to_vec());
-        let least = world
+        let min_replicas = world
             .objects
             .models
             .iter()
             .map(|x| x.min_replicas.max(1) as usize);
-        let least: Vec<_> = least.collect();
+        let min_replicas: Vec<_> = min_replicas.collect();
         let found = NAMES.map(|name| world.engines.replicas(name));
         let is_met = found
             .iter()
-            .zip(&least)
-            .all(|(found, least)| found >= least);
-        let can_be_met = least.iter().sum::<usize>() <= 8;
+            .zip(&min_replicas)
+            .all(|(found, min_replicas)| found >= min_replicas);
+        let can_be_met = min_replicas.iter().sum::<usize>() <= 8;
         let fault = world.faults.first().cloned();
         match (fault, is_met || !can_be_met) {
             (None, true) => Ok(()),
-            (fault, _) => Err(format!("{fault:?}, {found:?} of {least:?}")),
+            (fault, _) => Err(format!("{fault:?}, {found:?} of {min_replicas:?}")),
         }
     }
-    seeded(120).quickcheck(law as fn(_) -> _);
+    seeded(120).quickcheck(property as fn(_) -> _);
 }
 
 #[test]
-fn a_removed_model_is_unloaded_and_an_unplaceable_one_is_told_once() {
+fn a_removed_model_is_unloaded_and_an_unplaceable_one_is_reported_once() {
     let objects = Objects::new(
         Fencing::Checked,
         2,
@@ -274,7 +280,7 @@
         ..PlacementSettings::default()
     };
     let mut world = World::new(objects, settings);
-    world.run(MINUTE_MS, idle);
+    world.run(MINUTE_MS, no_demand);
     let unplaced = world.kinds(MoveKind::Unplaced);
     assert_eq!(unplaced.len(), 1, "{unplaced:?}");
     world.objects.models.retain(|x| x.name.as_str() != "chat");
@@ -282,19 +288,19 @@
         .objects
         .pipelines
         .retain(|x| x.name.as_str() != "chat");
-    world.run(5 * MINUTE_MS, idle);
+    world.run(5 * MINUTE_MS, no_demand);
     assert_eq!(world.engines.replicas("chat"), 0);
     assert_eq!(world.engines.replicas("draft"), 1);
 }
 
 #[test]
-fn a_model_that_was_never_configured_is_left_alone() {
+fn a_model_that_was_never_configured_is_not_unloaded() {
     let objects = Objects::new(Fencing::Checked, 2, &[("chat", 1_000, 1)]);
     let mut world = World::new(objects, PlacementSettings::default());
     for engine in &mut world.engines.engines {
         engine.models.insert("by-hand".into());
     }
-    world.run(10 * MINUTE_MS, idle);
+    world.run(10 * MINUTE_MS, no_demand);
     assert_eq!(world.engines.replicas("chat"), 1);
     assert_eq!(world.engines.replicas("by-hand"), 2);
 }
@@ -303,7 +309,7 @@
 fn the_preview_lists_the_moves_that_then_happen() {
     let before = Objects::new(Fencing::Checked, 4, &[("chat", 2_000, 2), ("old", 500, 1)]);
     let mut world = World::new(before.clone(), PlacementSettings::default());
-    world.run(MINUTE_MS, idle);
+    world.run(MINUTE_MS, no_demand);
     let mut after = before.clone();
     after.models.retain(|x| x.name.as_str() != "old");
     after.pipelines.retain(|x| x.name.as_str() != "old");
@@ -323,23 +329,23 @@
         })
         .collect();
     let settings = PlacementSettings::default();
-    let nothing = preview(&before.layout(), &before.layout(), &reports, &settings);
-    assert_eq!(nothing, []);
+    let no_moves = preview(&before.layout(), &before.layout(), &reports, &settings);
+    assert_eq!(no_moves, []);
     let planned = preview(&before.layout(), &after.layout(), &reports, &settings);
 
     world.decisions.clear();
     world.objects = after;
-    world.run(10 * MINUTE_MS, idle);
+    world.run(10 * MINUTE_MS, no_demand);
     let mut done: Vec<_> = world
         .decisions
         .iter()
         .map(|(_, x)| (x.kind, x.model.clone()))
         .collect();
-    let mut told: Vec<_> = planned.iter().map(|x| (x.kind, x.model.clone())).collect();
+    let mut previewed: Vec<_> = planned.iter().map(|x| (x.kind, x.model.clone())).collect();
     done.sort();
-    told.sort();
-    assert_eq!(told, done);
-    assert_eq!(told.len(), 4, "{planned:?}");
+    previewed.sort();
+    assert_eq!(previewed, done);
+    assert_eq!(previewed.len(), 4, "{planned:?}");
     let text = planned
         .iter()
         .map(|x| x.to_string())
@@ -350,11 +356,11 @@
 }
 
 #[test]
-fn each_order_has_its_decision_with_reason_and_cost() {
+fn each_order_has_a_decision_with_reason_and_cost() {
     let objects = Objects::new(Fencing::Checked, 2, &[("chat", 2_000, 2)]);
     let mut world = World::new(objects, PlacementSettings::default());
     world.engines.engines[1].models.insert("chat".into());
-    world.run(MINUTE_MS, idle);
+    world.run(MINUTE_MS, no_demand);
     let fences = world.kinds(MoveKind::Fence);
     assert_eq!(fences.len(), 1);
     assert_eq!(fences[0].backend, Some("engine-1".into()));
--- a/crates/core/tests/placement_world/mod.rs
+++ b/crates/core/tests/placement_world/mod.rs
@@ -1,6 +1,6 @@
-//! Engines that check fencing numbers or ignore them, one weight store, and
-//! demand that is spread over the engines of a model.
-#![allow(dead_code)] // each test file uses a part
+//! A simulation of engines that check or ignore fencing numbers, one weight
+//! store, and demand spread over the engines of each model.
+#![allow(dead_code)] // each test file uses only some of the helpers
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -71,7 +71,8 @@
 }
 
 impl Objects {
-    /// Engines `engine-0` and on of one pool in one zone; every model is used.
+    /// Creates the engines `engine-0`, `engine-1` and so on of one pool in one
+    /// zone; every model is used by a pipeline.
     pub fn new(fencing: Fencing, engines: usize, models: &[(&str, u64, u32)]) -> Self {
         let models = models
             .iter()
@@ -96,13 +97,13 @@
     pub name: String,
     pub fencing: Fencing,
     pub models: BTreeSet<ModelName>,
-    /// Loads under way and when they are complete.
+    /// Loads in progress with their completion time in ms.
     pub loading: BTreeMap<ModelName, u64>,
     pub highest_fence: u64,
     pub load: u32,
     pub is_dead: bool,
     pub is_leaving: bool,
-    /// Takes loads and never completes them.
+    /// Whether it accepts loads but never completes them.
     pub is_stuck: bool,
     reports: VecDeque<(u64, LoadReport)>,
 }
@@ -127,7 +128,7 @@
         !self.is_dead && !self.is_leaving && self.models.contains(model)
     }
 
-    /// Serves again; one that was dead has lost its models.
+    /// Puts the engine back into service; a dead one has lost its models.
     pub fn revive(&mut self) {
         if std::mem::take(&mut self.is_dead) {
             self.models.clear();
@@ -153,24 +154,24 @@
     }
 }
 
-fn take_one(count: &mut u32) -> bool {
-    let is_one = *count > 0;
+fn decrement_if_positive(count: &mut u32) -> bool {
+    let is_positive = *count > 0;
     *count = count.saturating_sub(1);
-    is_one
+    is_positive
 }
 
-/// The engines and the store that they load from.
+/// The engines and the weight store that they load from.
 #[derive(Clone, Debug)]
 pub struct Engines {
     pub engines: Vec<Engine>,
     pub settings: PlacementSettings,
     store_busy_until_ms: u64,
-    /// Most loads that were under way at the same time.
-    pub most_loading: usize,
-    /// Orders to come that get lost on their way.
+    /// Maximum concurrent loads so far.
+    pub max_concurrent_loads: usize,
+    /// Number of next orders that are lost before they arrive.
     pub lost_orders: u32,
-    /// Orders to come that are taken and whose answers get lost.
-    pub lost_answers: u32,
+    /// Number of next orders that are applied but whose responses are lost.
+    pub lost_responses: u32,
 }
 
 impl Engines {
@@ -184,13 +185,13 @@
             engines: engines.map(|x| Engine::new(x, fencing(x))).collect(),
             settings,
             store_busy_until_ms: 0,
-            most_loading: 0,
+            max_concurrent_loads: 0,
             lost_orders: 0,
-            lost_answers: 0,
+            lost_responses: 0,
         }
     }
 
-    /// Completes loads and notes reports.
+    /// Completes due loads and records reports.
     pub fn advance(&mut self, now_ms: u64) {
         for engine in &mut self.engines {
             let (done, rest): (BTreeMap<_, _>, BTreeMap<_, _>) =
@@ -207,11 +208,11 @@
         }
     }
 
-    /// Returns the lagging report of each engine that lives.
+    /// Returns the lagging report of each engine that is not dead.
     pub fn reports(&self, now_ms: u64) -> Vec<LoadReport> {
-        let living = self.engines.iter().filter(|engine| !engine.is_dead);
-        let oldest = living.filter_map(|engine| engine.reports.front());
-        oldest
+        let live_engines = self.engines.iter().filter(|engine| !engine.is_dead);
+        let oldest_reports = live_engines.filter_map(|engine| engine.reports.front());
+        oldest_reports
             .map(|(at_ms, report)| LoadReport {
                 age_ms: now_ms - at_ms,
                 ..report.clone()
@@ -220,15 +221,15 @@
     }
 
     pub fn order(&mut self, now_ms: u64, order: &Order, size_mb: u64) -> OrderResult {
-        let takes_ms = self.settings.load_ms(size_mb);
+        let load_ms = self.settings.load_ms(size_mb);
         let name = order.backend.as_str();
         let engine = self.engines.iter_mut().find(|x| x.name == name).unwrap();
-        if engine.is_dead || take_one(&mut self.lost_orders) {
+        if engine.is_dead || decrement_if_positive(&mut self.lost_orders) {
             return OrderResult::Unanswered;
         }
-        let is_old = order.fence < engine.highest_fence;
+        let is_stale = order.fence < engine.highest_fence;
         engine.highest_fence = engine.highest_fence.max(order.fence);
-        if is_old && engine.fencing == Fencing::Checked {
+        if is_stale && engine.fencing == Fencing::Checked {
             return OrderResult::Fenced {
                 highest_fence: engine.highest_fence,
             };
@@ -240,9 +241,9 @@
                 let start_ms = self.store_busy_until_ms.max(now_ms);
                 let ready_ms = match engine.is_stuck {
                     true => u64::MAX,
-                    false => start_ms + takes_ms,
+                    false => start_ms + load_ms,
                 };
-                self.store_busy_until_ms = start_ms + takes_ms;
+                self.store_busy_until_ms = start_ms + load_ms;
                 engine
                     .loading
                     .entry(order.model.clone())
@@ -255,8 +256,8 @@
         }
         let models = engine.models.iter().cloned().collect();
         let loading = self.engines.iter().map(|x| x.loading.len()).sum();
-        self.most_loading = self.most_loading.max(loading);
-        if take_one(&mut self.lost_answers) {
+        self.max_concurrent_loads = self.max_concurrent_loads.max(loading);
+        if decrement_if_positive(&mut self.lost_responses) {
             return OrderResult::Unanswered;
         }
         OrderResult::Applied { models }
@@ -284,7 +285,7 @@
     }
 }
 
-/// One placer that is never replaced, and its engines.
+/// A placer that is never replaced, and its engines.
 pub struct World {
     pub now_ms: u64,
     pub objects: Objects,
@@ -348,7 +349,7 @@
         found.map_or(0, |model| model.size_mb)
     }
 
-    /// The last replica of a model that a pipeline uses stays.
+    /// Checks that the last replica of a model in use is not unloaded.
     fn check(&mut self, order: &Order) {
         let is_in_use = self.objects.pipelines.iter().any(|pipeline| {
             pipeline
@@ -367,8 +368,10 @@
     /// Counts the moves from `from_ms` on.
     pub fn moves(&self, from_ms: u64) -> usize {
         let is_move = |kind| matches!(kind, MoveKind::Load | MoveKind::Unload);
-        let late = self.decisions.iter().filter(|(at_ms, _)| *at_ms >= from_ms);
-        late.filter(|(_, decision)| is_move(decision.kind)).count()
+        let late_decisions = self.decisions.iter().filter(|(at_ms, _)| *at_ms >= from_ms);
+        late_decisions
+            .filter(|(_, decision)| is_move(decision.kind))
+            .count()
     }
 
     pub fn kinds(&self, kind: MoveKind) -> Vec<&PlacementDecision> {
--- a/crates/core/tests/placer_election.rs
+++ b/crates/core/tests/placer_election.rs
@@ -1,4 +1,5 @@
-//! One placer at a time, through races, freezes, lost answers and late appends.
+//! Tests that there is one placer at a time, despite races, freezes, lost
+//! responses and late appends.
 
 mod placer_world;
 
@@ -13,7 +14,7 @@
 
 #[test]
 fn no_two_placers_order_unchecked_engines_at_once() {
-    fn law(ops: Vec<Op>) -> Result<(), String> {
+    fn property(ops: Vec<Op>) -> Result<(), String> {
         let mut world = World::new();
         world.run(5_000);
         for op in ops {
@@ -21,21 +22,21 @@
         }
         world.faults.first().cloned().map_or(Ok(()), Err)
     }
-    seeded(TESTS).quickcheck(law as fn(_) -> _);
+    seeded(TESTS).quickcheck(property as fn(_) -> _);
 }
 
 #[test]
 fn after_any_faults_one_placer_stands_and_all_agree() {
-    fn law(ops: Vec<Op>) -> Result<(), String> {
+    fn property(ops: Vec<Op>) -> Result<(), String> {
         let mut world = World::new();
         for op in ops {
             match op {
-                // Nobody is left to stand up when all have left.
+                // If all instances left, no candidate would remain.
                 Op::Leave { at } => world.apply(Op::Restart { at }),
                 op => world.apply(op),
             }
         }
-        world.calm();
+        world.settle();
         let holders: Vec<_> = world.nodes.iter().map(|n| n.placer.holder()).collect();
         let is_agreed = holders.iter().all(|h| h.is_some() && *h == holders[0]);
         match (world.placers().len(), is_agreed) {
@@ -43,7 +44,7 @@
             _ => Err(format!("{holders:?}, placers {:?}", world.placers())),
         }
     }
-    seeded(TESTS / 4).quickcheck(law as fn(_) -> _);
+    seeded(TESTS / 4).quickcheck(property as fn(_) -> _);
 }
 
 #[test]
@@ -85,7 +86,7 @@
     world.apply(Op::Thaw { at: old });
     assert_eq!(world.placers(), new);
     let (own, other) = (&world.nodes[old].placer, &world.nodes[new[0]].placer);
-    // It has read nothing yet and still takes itself for the placer.
+    // It has not read the new claim yet and still considers itself the placer.
     assert!(own.own_term() < other.own_term());
     assert_eq!(own.permit(world.local_ms(old)), None);
 }
@@ -162,24 +163,24 @@
         renewal(2, 2),
         renewal(0, 1),
     ];
-    let fold = |skip: usize| {
+    let apply_records = |skip: usize| {
         let mut election = Election::default();
-        let heard: Vec<_> = (0u64..)
+        let effects: Vec<_> = (0u64..)
             .zip(&records)
             .skip(skip)
             .map(|(offset, record)| election.apply(Offset(offset), record))
             .collect();
-        (election.holder().cloned(), heard)
+        (election.holder().cloned(), effects)
     };
-    let (holder, heard) = fold(0);
+    let (holder, effects) = apply_records(0);
     assert_eq!(holder.as_ref().unwrap().term, Offset(2));
     assert_eq!(
-        heard[3..5],
+        effects[3..5],
         [RecordEffect::NoEffect, RecordEffect::NoEffect]
     );
-    assert_eq!(heard[6], RecordEffect::NoEffect);
+    assert_eq!(effects[6], RecordEffect::NoEffect);
     for skip in 1..6 {
-        assert_eq!(fold(skip).0, holder, "from {skip} on");
+        assert_eq!(apply_records(skip).0, holder, "from {skip} on");
     }
 }
 
@@ -201,7 +202,7 @@
 }
 
 #[test]
-fn trimmed_records_are_passed_over() {
+fn trimmed_records_are_skipped() {
     let settings = PlacerSettings::default();
     let mut placer = Placer::new("entry".into(), Incarnation(1), settings, 1);
     let candidate = savoryvane_core::placer::ElectionRole::Candidate { rank: 0 };
@@ -215,7 +216,8 @@
     assert_eq!(read, Some(first));
 }
 
-/// The renewal is read so late that another may have claimed since.
+/// The old placer reads its own renewal so late that another instance has
+/// claimed the term since.
 #[test]
 fn a_renewal_counts_from_its_append_and_not_from_its_reading() {
     let mut world = World::new();
--- a/crates/core/tests/placer_orders.rs
+++ b/crates/core/tests/placer_orders.rs
@@ -1,5 +1,5 @@
-//! Orders of several placers to engines that check fencing numbers and engines
-//! that ignore them, with placers frozen between their check and their order.
+//! Tests orders of several placers to engines that check or ignore fencing
+//! numbers, with placers frozen between their permit check and their order.
 
 mod placement_world;
 mod placer_world;
@@ -16,20 +16,20 @@
 const ENGINES: usize = 3;
 const SIZE_MB: u64 = 2_000;
 
-/// Placers, each with its reconciler, and the orders that it has checked and not
+/// Placers with their reconcilers, and the orders that each has checked but not
 /// sent yet.
-struct Joint {
+struct OrderScenario {
     world: World,
     objects: Objects,
     engines: Engines,
     reconcilers: Vec<Reconciler>,
     checked: Vec<Vec<Order>>,
-    /// Orders of a replaced placer that an engine took.
+    /// Orders of a replaced placer that an engine applied.
     stale: Vec<Order>,
     newest_fence: u64,
 }
 
-impl Joint {
+impl OrderScenario {
     fn new(fencing: Fencing) -> Self {
         let objects = Objects::new(fencing, ENGINES, &MODELS);
         let settings = PlacementSettings::default();
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Lets the placer look at the engines and check its permit.
+    /// Checks the permit of a placer and runs one reconciliation round.
     fn check(&mut self, at: usize) {
         if self.world.nodes[at].is_frozen {
             return;
@@ -60,7 +60,8 @@
         self.checked[at].extend(round.orders);
     }
 
-    /// Hands over what was checked; a frozen placer does so when it wakes.
+    /// Sends the checked orders; a frozen placer sends them after it has
+    /// resumed.
     fn send(&mut self, at: usize) {
         if self.world.nodes[at].is_frozen {
             return;
@@ -101,22 +102,25 @@
         names.map(|name| self.engines.replicas(name)).collect()
     }
 
-    fn is_as_wanted(&self) -> bool {
-        let least = MODELS.iter().map(|(_, _, least)| *least as usize);
+    fn has_all_replicas(&self) -> bool {
+        let min_replicas = MODELS
+            .iter()
+            .map(|(_, _, min_replicas)| *min_replicas as usize);
         self.replicas()
             .into_iter()
-            .zip(least)
-            .all(|(found, least)| found >= least)
+            .zip(min_replicas)
+            .all(|(found, min_replicas)| found >= min_replicas)
     }
 
-    /// Checks an unload that the placer `at` may have decided on under an
-    /// earlier configuration.
+    /// Adds a checked unload that the placer `at` could have decided on under
+    /// an earlier configuration.
     fn check_unload(&mut self, at: usize, engine: usize, model: usize) {
         if self.world.nodes[at].is_frozen {
             return;
         }
         let permit = self.world.nodes[at].placer.permit(self.world.local_ms(at));
-        // None is decided on before the engines were told the term's number.
+        // No unload is decided on before the engines have learned the fencing
+        // number.
         if let Some(permit) = permit.filter(|permit| permit.fence == self.newest_fence) {
             self.checked[at].push(Order {
                 fence: permit.fence,
@@ -128,11 +132,11 @@
         }
     }
 
-    /// Freezes the placer with an unload of each replica checked and not sent,
-    /// until another one has stood up and settled; then wakes it.
-    fn wake_old_placer_with_unloads(&mut self) {
+    /// Freezes the placer with a checked but unsent unload of each replica
+    /// until another one has been elected and has settled; then resumes it.
+    fn resume_old_placer_with_unloads(&mut self) {
         self.run(60_000);
-        assert!(self.is_as_wanted());
+        assert!(self.has_all_replicas());
         let old = self.world.placers()[0];
         let fence = self.world.nodes[old].placer.own_term().unwrap().0;
         let fencing = self.objects.pools[0].fencing;
@@ -150,7 +154,7 @@
         }
         self.world.apply(Op::Freeze { at: old });
         self.run(90_000);
-        assert!(self.is_as_wanted());
+        assert!(self.has_all_replicas());
         let new = self.world.placers()[0];
         self.newest_fence = self.world.nodes[new].placer.own_term().unwrap().0;
         assert!(self.newest_fence > fence);
@@ -161,22 +165,26 @@
 
 #[test]
 fn engines_that_check_refuse_a_woken_placer() {
-    let mut joint = Joint::new(Fencing::Checked);
-    joint.wake_old_placer_with_unloads();
-    assert_eq!(joint.stale, []);
-    assert!(joint.is_as_wanted());
-    joint.run(60_000);
-    assert!(joint.is_as_wanted());
+    let mut scenario = OrderScenario::new(Fencing::Checked);
+    scenario.resume_old_placer_with_unloads();
+    assert_eq!(scenario.stale, []);
+    assert!(scenario.has_all_replicas());
+    scenario.run(60_000);
+    assert!(scenario.has_all_replicas());
 }
 
 #[test]
 fn engines_that_ignore_the_number_are_put_right_after_a_woken_placer() {
-    let mut joint = Joint::new(Fencing::Ignored);
-    joint.wake_old_placer_with_unloads();
-    assert_eq!(joint.stale.len(), ENGINES * MODELS.len());
-    assert_eq!(joint.replicas(), [0, 0], "what is still possible");
-    joint.run(60_000);
-    assert!(joint.is_as_wanted());
+    let mut scenario = OrderScenario::new(Fencing::Ignored);
+    scenario.resume_old_placer_with_unloads();
+    assert_eq!(scenario.stale.len(), ENGINES * MODELS.len());
+    assert_eq!(
+        scenario.replicas(),
+        [0, 0],
+        "stale unloads still reach them"
+    );
+    scenario.run(60_000);
+    assert!(scenario.has_all_replicas());
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -203,7 +211,7 @@
         let at = usize::arbitrary(g) % INSTANCES;
         match u8::arbitrary(g) % 10 {
             0..=2 => match Op::arbitrary(g) {
-                // Nobody would be left to place.
+                // No placer would remain.
                 Op::Leave { at } => Self::Placer(Op::Restart { at }),
                 op => Self::Placer(op),
             },
@@ -221,38 +229,45 @@
     }
 }
 
-fn after_any_order_of_events(fencing: Fencing, steps: Vec<Step>) -> Result<(), String> {
-    let mut joint = Joint::new(fencing);
-    joint.run(20_000);
+fn check_recovery(fencing: Fencing, steps: Vec<Step>) -> Result<(), String> {
+    let mut scenario = OrderScenario::new(fencing);
+    scenario.run(20_000);
     for step in steps {
         match step {
-            Step::Placer(op) => joint.apply(op),
-            Step::Check { at } => joint.check(at),
-            Step::CheckUnload { at, engine, model } => joint.check_unload(at, engine, model),
-            Step::Send { at } => joint.send(at),
-            Step::Run { ms } => joint.run(ms),
+            Step::Placer(op) => scenario.apply(op),
+            Step::Check { at } => scenario.check(at),
+            Step::CheckUnload { at, engine, model } => scenario.check_unload(at, engine, model),
+            Step::Send { at } => scenario.send(at),
+            Step::Run { ms } => scenario.run(ms),
         }
-        joint.engines.advance(joint.world.now_ms);
+        scenario.engines.advance(scenario.world.now_ms);
     }
-    joint.world.calm();
-    joint.run(180_000);
-    // An engine that reports nothing is not told the number; a load does no harm.
-    joint.stale.retain(|order| order.kind == OrderKind::Unload);
-    let is_fenced = fencing == Fencing::Ignored || joint.stale.is_empty();
-    match joint.is_as_wanted() && is_fenced {
+    scenario.world.settle();
+    scenario.run(180_000);
+    // An engine without models does not learn the fencing number; a stale load
+    // does no harm.
+    scenario
+        .stale
+        .retain(|order| order.kind == OrderKind::Unload);
+    let is_fenced = fencing == Fencing::Ignored || scenario.stale.is_empty();
+    match scenario.has_all_replicas() && is_fenced {
         true => Ok(()),
-        false => Err(format!("{:?}, stale {:?}", joint.replicas(), joint.stale)),
+        false => Err(format!(
+            "{:?}, stale {:?}",
+            scenario.replicas(),
+            scenario.stale
+        )),
     }
 }
 
 #[test]
 fn engines_end_as_wanted_whatever_the_placers_do() {
-    fn law(is_checked: bool, steps: Vec<Step>) -> Result<(), String> {
+    fn property(is_checked: bool, steps: Vec<Step>) -> Result<(), String> {
         let fencing = match is_checked {
             true => Fencing::Checked,
             false => Fencing::Ignored,
         };
-        after_any_order_of_events(fencing, steps)
+        check_recovery(fencing, steps)
     }
-    seeded(120).quickcheck(law as fn(_, _) -> _);
+    seeded(120).quickcheck(property as fn(_, _) -> _);
 }
--- a/crates/core/tests/placer_world/mod.rs
+++ b/crates/core/tests/placer_world/mod.rs
@@ -1,6 +1,6 @@
-//! A few candidates over one log that loses answers and delays appends, with
-//! clocks that drift and instances that freeze.
-#![allow(dead_code)] // each test file uses a part
+//! A simulation of a few candidates over one log that loses responses and
+//! delays appends, with drifting clocks and instances that freeze.
+#![allow(dead_code)] // each test file uses only some of the helpers
 
 #[path = "../fate/mod.rs"]
 mod fate;
@@ -18,9 +18,9 @@
 const SEED: u64 = 0x5eed;
 const GEN_SIZE: usize = 120;
 const STEP_MS: u64 = 200;
-const PASSES_MS: [u64; 6] = [100, 400, 2_000, 5_000, 12_000, 40_000];
-/// How many more milliseconds in a thousand the clock of each instance counts.
-const DRIFTS_PER_MILLE: [u64; INSTANCES] = [0, 5, 10];
+const DELAYS_MS: [u64; 6] = [100, 400, 2_000, 5_000, 12_000, 40_000];
+/// Excess rate of the clock of each instance, in thousandths.
+const CLOCK_DRIFTS_PER_MILLE: [u64; INSTANCES] = [0, 5, 10];
 
 pub fn seeded(tests: u64) -> QuickCheck {
     let rng = Gen::from_size_and_seed(GEN_SIZE, SEED);
@@ -32,7 +32,7 @@
     Pass { ms: u64 },
     Append { at: usize, fate: Fate },
     Arrive,
-    Read { at: usize, most: usize },
+    Read { at: usize, max_records: usize },
     ReadFails { at: usize },
     Freeze { at: usize },
     Thaw { at: usize },
@@ -44,7 +44,7 @@
 impl Arbitrary for Op {
     fn arbitrary(g: &mut Gen) -> Self {
         let at = usize::arbitrary(g) % INSTANCES;
-        let ms = *g.choose(&PASSES_MS).unwrap();
+        let ms = *g.choose(&DELAYS_MS).unwrap();
         let fates = [
             Fate::Appended,
             Fate::AnswerLost,
@@ -53,12 +53,12 @@
             Fate::DoneTwice,
         ];
         let fate = *g.choose(&fates).unwrap();
-        let most = usize::arbitrary(g) % 4;
+        let max_records = usize::arbitrary(g) % 4;
         match u8::arbitrary(g) % 20 {
             0..=1 => Self::Pass { ms },
             2..=4 => Self::Append { at, fate },
             5 => Self::Arrive,
-            6..=8 => Self::Read { at, most },
+            6..=8 => Self::Read { at, max_records },
             9 => Self::ReadFails { at },
             10..=11 => Self::Freeze { at },
             12..=13 => Self::Thaw { at },
@@ -75,7 +75,8 @@
     pub is_frozen: bool,
     pub read: Option<Offset>,
     pub append: Option<PlacerRecord>,
-    /// Last time at which engines that ignore the number might be ordered.
+    /// Last time at which engines that ignore fencing numbers could be given
+    /// orders, in ms.
     pub last_allowed_ms: Option<u64>,
 }
 
@@ -83,7 +84,7 @@
     pub now_ms: u64,
     pub settings: PlacerSettings,
     pub log: Vec<PlacerRecord>,
-    pub late: Vec<PlacerRecord>,
+    pub delayed_appends: Vec<PlacerRecord>,
     pub nodes: Vec<Node>,
     pub faults: Vec<String>,
     runs: u64,
@@ -95,7 +96,7 @@
             now_ms: 1_000,
             settings: PlacerSettings::default(),
             log: Vec::new(),
-            late: Vec::new(),
+            delayed_appends: Vec::new(),
             nodes: Vec::new(),
             faults: Vec::new(),
             runs: 0,
@@ -105,7 +106,7 @@
             world.nodes.push(node);
         }
         for at in 0..INSTANCES {
-            world.stand(at);
+            world.become_candidate(at);
         }
         world
     }
@@ -124,13 +125,13 @@
         }
     }
 
-    fn stand(&mut self, at: usize) {
+    fn become_candidate(&mut self, at: usize) {
         let rank = at as u64;
         self.event(at, Event::RoleChanged(ElectionRole::Candidate { rank }));
     }
 
     pub fn local_ms(&self, at: usize) -> u64 {
-        self.now_ms * (1_000 + DRIFTS_PER_MILLE[at]) / 1_000
+        self.now_ms * (1_000 + CLOCK_DRIFTS_PER_MILLE[at]) / 1_000
     }
 
     pub fn event(&mut self, at: usize, event: Event) {
@@ -154,11 +155,11 @@
             Op::Pass { ms } => self.pass(ms),
             Op::Append { at, fate } => self.append(at, fate),
             Op::Arrive => {
-                if let Some(record) = self.late.pop() {
+                if let Some(record) = self.delayed_appends.pop() {
                     self.log.push(record);
                 }
             }
-            Op::Read { at, most } => self.read(at, most),
+            Op::Read { at, max_records } => self.read(at, max_records),
             Op::ReadFails { at } => {
                 if !self.nodes[at].is_frozen && self.nodes[at].read.take().is_some() {
                     self.event(at, Event::ReadFailed);
@@ -169,14 +170,14 @@
             Op::Run { ms } => self.run(ms),
             Op::Restart { at } => {
                 self.nodes[at] = self.new_node(at);
-                self.stand(at);
+                self.become_candidate(at);
             }
             Op::Leave { at } => self.event(at, Event::Leave),
         }
         self.check();
     }
 
-    /// Lets time pass in which nothing is answered.
+    /// Advances time without any responses.
     pub fn pass(&mut self, ms: u64) {
         let end_ms = self.now_ms + ms;
         while self.now_ms < end_ms {
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Lets time pass in which the log works.
+    /// Advances time with a working log.
     pub fn run(&mut self, ms: u64) {
         let end_ms = self.now_ms + ms;
         while self.now_ms < end_ms {
@@ -209,7 +210,7 @@
         match fate {
             Fate::Appended | Fate::AnswerLost => self.log.push(record),
             Fate::NeverArrived => {}
-            Fate::ArrivesLater => self.late.push(record),
+            Fate::ArrivesLater => self.delayed_appends.push(record),
             Fate::DoneTwice => {
                 self.log.push(record.clone());
                 self.log.push(record);
@@ -218,7 +219,7 @@
         self.event(at, Event::AppendEnded);
     }
 
-    pub fn read(&mut self, at: usize, most: usize) {
+    pub fn read(&mut self, at: usize, max_records: usize) {
         if self.nodes[at].is_frozen {
             return;
         }
@@ -226,7 +227,10 @@
             return;
         };
         let next = Offset(self.log.len() as u64);
-        let records = (0u64..).zip(&self.log).skip(from.0 as usize).take(most);
+        let records = (0u64..)
+            .zip(&self.log)
+            .skip(from.0 as usize)
+            .take(max_records);
         let records = records.map(|(offset, record)| Received {
             offset: Offset(offset),
             record: Some(record.clone()),
@@ -235,8 +239,9 @@
         self.event(at, Event::Read { next, records });
     }
 
-    /// No two may order engines that ignore the number within one order's time,
-    /// and no two hold the same fencing number.
+    /// Checks that no two instances can give orders to engines that ignore
+    /// fencing numbers within the duration of one order, and that no two hold
+    /// the same fencing number.
     fn check(&mut self) {
         let now_ms = self.now_ms;
         let permits: Vec<_> = (0..INSTANCES)
@@ -244,13 +249,14 @@
             .collect();
         for (at, permit) in permits.iter().enumerate() {
             let Some(permit) = permit else { continue };
-            let written = self.log.get(permit.fence as usize);
-            let is_own = written.is_some_and(|record| {
+            let claim_record = self.log.get(permit.fence as usize);
+            let is_own = claim_record.is_some_and(|record| {
                 matches!(record, PlacerRecord::Claim { .. })
                     && record.incarnation() == self.nodes[at].incarnation
             });
             if !is_own {
-                self.faults.push(format!("{at} orders by {permit:?}"));
+                self.faults
+                    .push(format!("{at} holds {permit:?} without its claim"));
             }
             if !permit.allows(self.local_ms(at), Fencing::Ignored) {
                 continue;
@@ -261,16 +267,16 @@
                     .map(|last_ms| last_ms + self.settings.order_timeout_ms);
                 if busy_until_ms.is_some_and(|until_ms| until_ms > now_ms) {
                     self.faults
-                        .push(format!("{at} and {other} order at {now_ms}"));
+                        .push(format!("{at} and {other} can give orders at {now_ms} ms"));
                 }
             }
             self.nodes[at].last_allowed_ms = Some(now_ms);
         }
     }
 
-    /// Ends every fault and lets the candidates settle.
-    pub fn calm(&mut self) {
-        self.log.append(&mut self.late);
+    /// Ends all faults and lets the candidates settle.
+    pub fn settle(&mut self) {
+        self.log.append(&mut self.delayed_appends);
         for at in 0..INSTANCES {
             self.nodes[at].is_frozen = false;
         }
--- a/crates/core/tests/policy_rules.rs
+++ b/crates/core/tests/policy_rules.rs
@@ -1,5 +1,5 @@
-//! Rules of the policy that hold whatever the load: who gets no calls, what is
-//! repeated, and who is refused.
+//! Tests policy rules that hold under any load: which servers get calls, which
+//! calls are retried and which requests are refused.
 
 mod common;
 
@@ -14,7 +14,7 @@
     settings::PolicySettings,
 };
 
-/// Calls after which the usual times of a pool are known.
+/// Calls after which a pool has enough samples for timeouts.
 const WARM_UP: u64 = 40;
 
 fn start(fleet: &mut Fleet, spec: ExecutionSpec, now_ms: u64) -> (Execution, Vec<Action>) {
@@ -44,7 +44,8 @@
     })
 }
 
-/// Runs requests whose calls take 10 ms, so that the pool's times are known.
+/// Runs requests whose calls take 10 ms, so that the pool has enough samples
+/// for timeouts. Returns the time after them.
 fn warm_up(fleet: &mut Fleet, pool: &str) -> u64 {
     for number in 0..WARM_UP {
         let now_ms = number * 20;
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn a_leaving_server_gets_nothing_new() {
+fn a_leaving_server_gets_no_new_calls() {
     let mut fleet = fleet(PolicySettings::default());
     fleet.on_leaving(&"pay-0".into());
     fleet.on_leaving(&"pay-1".into());
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn a_failing_server_is_left_alone_and_tried_again_later() {
+fn a_failing_server_is_ejected_and_retried_later() {
     let mut fleet = fleet(PolicySettings::default());
     let mut failures = Vec::new();
     for now_ms in 0..3_000 {
@@ -81,7 +82,7 @@
         while name.as_str() == "search-0" {
             failures.push(now_ms);
             let actions = execution.on_event(now_ms, error(&call.id), &mut fleet);
-            (name, call) = sent(&actions).expect("it goes elsewhere");
+            (name, call) = sent(&actions).expect("it is retried on another server");
         }
         execution.on_event(now_ms, done(&call.id, "x", 0), &mut fleet);
     }
@@ -94,7 +95,7 @@
     let mut fleet = fleet(PolicySettings::default());
     for now_ms in 0..200 {
         let (mut execution, actions) = start(&mut fleet, spec_at(now_ms, "search", true), now_ms);
-        let (_, call) = sent(&actions).expect("there is always somewhere to go");
+        let (_, call) = sent(&actions).expect("a server is always available");
         execution.on_event(now_ms, error(&call.id), &mut fleet);
         execution.on_event(now_ms, Event::CallerGone, &mut fleet);
     }
@@ -106,24 +107,28 @@
 }
 
 #[test]
-fn repeats_stay_within_their_share() {
+fn retries_stay_within_their_budget() {
     let mut fleet = fleet(PolicySettings::default());
-    let (mut first, mut all) = (0, 0);
+    let (mut first_attempts, mut all) = (0, 0);
     for now_ms in 0..2_000 {
         let (mut execution, actions) = start(&mut fleet, spec_at(now_ms, "search", true), now_ms);
-        first += 1;
-        let mut next = sent(&actions);
-        while let Some((_, call)) = next {
+        first_attempts += 1;
+        let mut next_call = sent(&actions);
+        while let Some((_, call)) = next_call {
             all += 1;
-            next = sent(&execution.on_event(now_ms, error(&call.id), &mut fleet));
+            next_call = sent(&execution.on_event(now_ms, error(&call.id), &mut fleet));
         }
     }
-    assert!(all > first, "some are repeated");
-    assert!(all - first <= first / 10 + 10, "{} of {first}", all - first);
+    assert!(all > first_attempts, "some are retried");
+    assert!(
+        all - first_attempts <= first_attempts / 10 + 10,
+        "{} of {first_attempts}",
+        all - first_attempts
+    );
 }
 
 #[test]
-fn an_overdue_call_is_raced_only_if_it_may_be_repeated() {
+fn an_overdue_call_is_hedged_only_if_it_is_idempotent() {
     for idempotent in [true, false] {
         let mut fleet = fleet(PolicySettings::default());
         let now_ms = warm_up(&mut fleet, "pay");
@@ -135,7 +140,7 @@
 }
 
 #[test]
-fn where_cost_weighs_more_an_overdue_call_is_given_up() {
+fn an_overdue_call_is_cancelled_if_cost_is_prioritised() {
     for (objective, cancels) in [(Objective::Attainment, 0), (Objective::Cost, 1)] {
         let mut fleet = fleet(PolicySettings::default());
         let now_ms = warm_up(&mut fleet, "search");
@@ -146,15 +151,15 @@
         let (mut execution, _) = start(&mut fleet, spec, now_ms);
         let actions = execution.on_event(now_ms + 500, Event::Timer, &mut fleet);
         assert!(sent(&actions).is_some());
-        let given_up = actions
+        let cancel_count = actions
             .iter()
             .filter(|action| matches!(action, Action::Cancel { .. }))
             .count();
-        assert_eq!(given_up, cancels);
+        assert_eq!(cancel_count, cancels);
     }
 }
 
-/// Reports so many calls at each server of a pool.
+/// Reports four running and `queued` queued calls at each server of a pool.
 fn report(fleet: &mut Fleet, now_ms: u64, pool: &str, queued: u32) {
     for number in 0..3 {
         let report = LoadReport {
@@ -171,10 +176,10 @@
 }
 
 #[test]
-fn what_cannot_be_answered_in_time_is_refused_at_once() {
+fn a_request_that_cannot_meet_its_deadline_is_refused_at_once() {
     let mut fleet = fleet(PolicySettings::default());
     let now_ms = warm_up(&mut fleet, "search");
-    // Calls of 1 ms (as reported busy): 20,000 of them are 5 s of work.
+    // Calls with a reported busy time of 1 ms: 20,000 of them are 5 s of work.
     report(&mut fleet, now_ms, "search", 20_000);
     let (_, actions) = start(&mut fleet, spec_at(now_ms, "search", true), now_ms);
     let completion = finished(&actions).expect("it is refused at once");
@@ -195,7 +200,7 @@
 }
 
 #[test]
-fn under_pressure_a_workspace_beyond_its_share_is_refused_first() {
+fn under_load_a_workspace_beyond_its_share_is_refused_first() {
     let mut fleet = fleet(PolicySettings::default());
     fleet.configure_workspaces(&[workspace("atelier"), workspace("flood")]);
     let flood_at = |now_ms| ExecutionSpec {
@@ -205,21 +210,21 @@
     let now_ms = warm_up(&mut fleet, "search");
     for _ in 0..400 {
         let (mut execution, actions) = start(&mut fleet, flood_at(now_ms), now_ms);
-        let (_, call) = sent(&actions).expect("without pressure all are taken");
+        let (_, call) = sent(&actions).expect("without load all are admitted");
         execution.on_event(now_ms, done(&call.id, "x", 0), &mut fleet);
     }
-    // A wait of about a second: well within the slack of 4 s.
+    // A wait of about one second, well within the slack of 4 s.
     report(&mut fleet, now_ms, "search", 4_000);
     let (_, refused) = start(&mut fleet, flood_at(now_ms), now_ms);
     assert!(sent(&refused).is_none());
-    let (_, taken) = start(&mut fleet, spec_at(now_ms, "search", true), now_ms);
-    assert!(sent(&taken).is_some());
+    let (_, admitted) = start(&mut fleet, spec_at(now_ms, "search", true), now_ms);
+    assert!(sent(&admitted).is_some());
 }
 
-/// The limiter, which the instances share, is the one that counts quotas: a
-/// second count here refused bursts that it allows.
+/// Quotas are enforced by the limiter, which the instances share. A second
+/// check in the fleet refused bursts that the limiter allows.
 #[test]
-fn the_fleet_refuses_nobody_for_a_quota() {
+fn the_fleet_does_not_enforce_quotas() {
     let mut fleet = fleet(PolicySettings::default());
     let small = Workspace {
         quota_per_s: 1,
@@ -229,7 +234,7 @@
     let now_ms = warm_up(&mut fleet, "search");
     for _ in 0..20 {
         let (mut execution, actions) = start(&mut fleet, spec_at(now_ms, "search", true), now_ms);
-        let (_, call) = sent(&actions).expect("it is taken");
+        let (_, call) = sent(&actions).expect("it is admitted");
         execution.on_event(now_ms, done(&call.id, "x", 0), &mut fleet);
     }
 }
@@ -243,21 +248,24 @@
         prefix: Some(7),
         ..spec_at(now_ms, "write", true)
     };
-    let (_, first) = start(&mut fleet, with_prefix(), now_ms);
-    assert_eq!(sent(&first).expect("it is sent").0.as_str(), "write-1");
-    let mut elsewhere = 0;
+    let (_, first_actions) = start(&mut fleet, with_prefix(), now_ms);
+    assert_eq!(
+        sent(&first_actions).expect("it is sent").0.as_str(),
+        "write-1"
+    );
+    let mut other_server_count = 0;
     for _ in 0..20 {
         let (_, actions) = start(&mut fleet, with_prefix(), now_ms);
         let (name, _) = sent(&actions).expect("it is sent");
-        elsewhere += u32::from(name.as_str() != "write-1");
+        other_server_count += u32::from(name.as_str() != "write-1");
     }
-    assert!(elsewhere >= 10, "{elsewhere} of 20");
+    assert!(other_server_count >= 10, "{other_server_count} of 20");
 }
 
 #[test]
-fn an_instance_uses_a_bounded_part_of_a_large_pool() {
+fn an_instance_uses_a_bounded_subset_of_a_large_pool() {
     let settings = PolicySettings::default();
-    let most = settings.subset_size;
+    let subset_size = settings.subset_size;
     let backends: Vec<Backend> = (0..283)
         .map(|number| backend(&format!("lm-{number}"), "lm", "here"))
         .collect();
@@ -268,7 +276,7 @@
         let mut fleet = Fleet::new(name.as_str().into(), "here".into(), settings.clone(), 1);
         fleet.configure(&pools, &backends);
         let members: Vec<BackendName> = fleet.members().cloned().collect();
-        assert_eq!(members.len(), most);
+        assert_eq!(members.len(), subset_size);
         used.extend(members);
     }
     assert!(used.len() >= 275, "{} of 283 are used", used.len());
