--- a/crates/core/tests/execution_interleavings.rs
+++ b/crates/core/tests/execution_interleavings.rs
@@ -61,7 +61,7 @@
         let is_allowed =
             |action: &Action| matches!(action, Action::Discard { .. } | Action::Cancel { .. });
         if was_finished && !actions.iter().all(is_allowed) {
-            return Err(format!("actions after the end:  {actions:?}"));
+            return Err(format!("actions after the end: {actions:?}"));
         }
         self.check_sends()
     }
