--- a/crates/core/src/execution.rs
+++ b/crates/core/src/execution.rs
@@ -1,4 +1,4 @@
-//! The state machine of one request, from its arrival to its final answer.
+//! The state machine of one request, from its arrival to its final response.
 //!
 //! The surrounding process passes in events and carries out the returned
 //! actions. A call counts as handed to a socket from its [`Action::Send`] until
--- a/crates/core/src/fleet/admission.rs
+++ b/crates/core/src/fleet/admission.rs
@@ -58,7 +58,7 @@
 /// The current overload: a period in which this instance refuses requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Overload {
-    began_ms: u64,
+    start_ms: u64,
     last_refusal_ms: Option<u64>,
 }
 
@@ -70,10 +70,10 @@
             .last_refusal_ms
             .is_some_and(|last_ms| now_ms.saturating_sub(last_ms) <= OVERLOAD_GAP_MS);
         if !is_ongoing {
-            self.began_ms = now_ms;
+            self.start_ms = now_ms;
         }
         self.last_refusal_ms = Some(now_ms);
-        now_ms.saturating_sub(self.began_ms)
+        now_ms.saturating_sub(self.start_ms)
     }
 }
 
--- a/crates/core/src/fleet/health.rs
+++ b/crates/core/src/fleet/health.rs
@@ -14,9 +14,9 @@
 /// The kind of a failure of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// It responds, but with errors or too slowly.
+    /// It responds, but with errors, incompletely or too slowly.
     Failing,
-    /// Its connection broke or has gone silent.
+    /// Its connection broke without a response or has gone silent.
     Silent,
     /// No connection to it can be established.
     Unreachable,
--- a/crates/core/src/fleet/retry_budget.rs
+++ b/crates/core/src/fleet/retry_budget.rs
@@ -10,7 +10,7 @@
     /// Hundredths of a retry earned by one first attempt.
     earned_per_attempt: u64,
     /// Maximum balance, in hundredths of a retry.
-    cap: u64,
+    max_balance: u64,
     balance: u64,
 }
 
@@ -22,22 +22,22 @@
     /// Creates a full budget that earns `percent` hundredths of a retry with
     /// each first attempt and holds at most `burst` retries.
     pub(crate) fn with(percent: u32, burst: u32) -> Self {
-        let cap = u64::from(burst) * UNITS_PER_RETRY;
+        let max_balance = u64::from(burst) * UNITS_PER_RETRY;
         Self {
             earned_per_attempt: u64::from(percent),
-            cap,
-            balance: cap,
+            max_balance,
+            balance: max_balance,
         }
     }
 
     /// Sets the maximum balance to `burst` retries.
     pub(crate) fn set_burst(&mut self, burst: u32) {
-        self.cap = u64::from(burst) * UNITS_PER_RETRY;
-        self.balance = self.balance.min(self.cap);
+        self.max_balance = u64::from(burst) * UNITS_PER_RETRY;
+        self.balance = self.balance.min(self.max_balance);
     }
 
     pub(crate) fn on_first_attempt(&mut self) {
-        self.balance = (self.balance + self.earned_per_attempt).min(self.cap);
+        self.balance = (self.balance + self.earned_per_attempt).min(self.max_balance);
     }
 
     /// Takes one retry out of the budget, if available.
--- a/crates/core/src/fleet/score.rs
+++ b/crates/core/src/fleet/score.rs
@@ -55,7 +55,7 @@
     fn network_us(&self, backend: &KnownBackend) -> u64 {
         self.network_times
             .get(&backend.zone)
-            .and_then(|way| way.quantile_us(NETWORK_PERCENTILE))
+            .and_then(|times| times.quantile_us(NETWORK_PERCENTILE))
             .unwrap_or(DEFAULT_NETWORK_US)
     }
 
--- a/crates/core/src/limiter.rs
+++ b/crates/core/src/limiter.rs
@@ -42,7 +42,7 @@
     quotas: HashMap<WorkspaceName, WorkspaceKey>,
     rates: HashMap<WorkspaceKey, Rate>,
     active: Vec<HashMap<WorkspaceKey, ActiveWorkspace>>,
-    has_low: bool,
+    has_low_bucket: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -58,7 +58,7 @@
             quotas: HashMap::new(),
             rates: HashMap::new(),
             active: Shard::all().map(|_| HashMap::new()).collect(),
-            has_low: false,
+            has_low_bucket: false,
         }
     }
 }
@@ -104,7 +104,7 @@
         active.arrivals += 1;
         active.bucket.fill(now_ms, flow);
         let is_admitted = active.bucket.take();
-        self.has_low |= active.bucket.is_low(flow);
+        self.has_low_bucket |= active.bucket.is_low(flow);
         if is_admitted {
             return Admission::Admitted;
         }
@@ -115,7 +115,7 @@
 
     /// Returns whether a deep bucket has run low since the last call.
     pub fn take_low(&mut self) -> bool {
-        std::mem::take(&mut self.has_low)
+        std::mem::take(&mut self.has_low_bucket)
     }
 
     /// Returns the demands of the active workspaces of a shard, counted since
--- a/crates/core/src/placement/assign.rs
+++ b/crates/core/src/placement/assign.rs
@@ -103,7 +103,7 @@
     fn has_room_after_orders(&self, model: &ModelName) -> bool {
         self.engines.iter().any(|engine| {
             !engine.holds_or_loads(model)
-                && !engine.avoid.contains(model)
+                && !engine.avoided_models.contains(model)
                 && engine.model_count() < self.settings.models_per_engine
         })
     }
@@ -133,7 +133,9 @@
     }
 
     fn can_take(&self, engine: &Engine, model: &ModelName) -> bool {
-        engine.is_orderable && !engine.holds_or_loads(model) && !engine.avoid.contains(model)
+        engine.is_orderable
+            && !engine.holds_or_loads(model)
+            && !engine.avoided_models.contains(model)
     }
 
     /// Returns whether a replica may be unloaded: it is spare, or exceeds the
--- a/crates/core/src/placement/engine.rs
+++ b/crates/core/src/placement/engine.rs
@@ -28,7 +28,7 @@
     /// Models that it was ordered to load and does not report yet.
     pub(crate) loading: BTreeSet<ModelName>,
     /// Models that it has recently failed to load.
-    pub(crate) avoid: BTreeSet<ModelName>,
+    pub(crate) avoided_models: BTreeSet<ModelName>,
     /// Whether it can be given an order now.
     pub(crate) is_orderable: bool,
 }
@@ -42,7 +42,7 @@
             load: 0,
             models: BTreeSet::new(),
             loading: BTreeSet::new(),
-            avoid: BTreeSet::new(),
+            avoided_models: BTreeSet::new(),
             is_orderable: true,
         }
     }
--- a/crates/core/src/placement/reconciler.rs
+++ b/crates/core/src/placement/reconciler.rs
@@ -126,10 +126,11 @@
     pub fn round(&mut self, now_ms: u64, layout: &Layout<'_>, permit: &Permit) -> Round {
         self.apply_layout(now_ms, layout, permit);
         let sites = self.sites(now_ms, layout, permit);
-        let seen = sites
+        let serving_engines = sites
             .iter()
             .flat_map(|(site, engines)| engines.iter().map(move |engine| (&site.zone, engine)));
-        self.demand.update(now_ms, self.settings.smoothing_ms, seen);
+        self.demand
+            .update(now_ms, self.settings.smoothing_ms, serving_engines);
         let mut round = Round::default();
         self.order_fences(now_ms, layout, permit, &mut round);
         let mut steps = Vec::new();
--- a/crates/core/src/placement/tracker.rs
+++ b/crates/core/src/placement/tracker.rs
@@ -45,7 +45,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Loading {
+struct PendingLoad {
     ordered_at_ms: u64,
     due_ms: u64,
     /// Cleared when the order ends without a response.
@@ -63,8 +63,8 @@
     slots: u32,
     load: u32,
     models: BTreeSet<ModelName>,
-    loading: BTreeMap<ModelName, Loading>,
-    avoid: BTreeMap<ModelName, u64>,
+    pending_loads: BTreeMap<ModelName, PendingLoad>,
+    avoid_until_ms: BTreeMap<ModelName, u64>,
     /// Since when it has held models that are not configured for its pool.
     unconfigured_since_ms: BTreeMap<ModelName, u64>,
     /// Fencing number of the last order that it applied.
@@ -82,8 +82,8 @@
             slots: 1,
             load: 0,
             models: BTreeSet::new(),
-            loading: BTreeMap::new(),
-            avoid: BTreeMap::new(),
+            pending_loads: BTreeMap::new(),
+            avoid_until_ms: BTreeMap::new(),
             unconfigured_since_ms: BTreeMap::new(),
             fence: None,
             has_pending_order: false,
@@ -99,8 +99,8 @@
     pub(crate) fn begin_term(&mut self, now_ms: u64) {
         self.restart_lost_timer(now_ms);
         self.measured_at_ms = None;
-        self.loading.clear();
-        self.avoid.clear();
+        self.pending_loads.clear();
+        self.avoid_until_ms.clear();
         self.fence = None;
         self.has_pending_order = false;
     }
@@ -131,14 +131,14 @@
         match result {
             OrderResult::Applied { models } => self.set_models(now_ms, models),
             OrderResult::NotSent | OrderResult::Fenced { .. } => {
-                self.loading.remove(model);
+                self.pending_loads.remove(model);
             }
             OrderResult::Unanswered if kind == OrderKind::Load => {
                 // The load is ordered again unless the engine soon reports the
                 // model.
-                if let Some(loading) = self.loading.get_mut(model) {
-                    loading.due_ms = loading.due_ms.min(now_ms + REORDER_MS);
-                    loading.is_acknowledged = false;
+                if let Some(pending_load) = self.pending_loads.get_mut(model) {
+                    pending_load.due_ms = pending_load.due_ms.min(now_ms + REORDER_MS);
+                    pending_load.is_acknowledged = false;
                 }
             }
             OrderResult::Unanswered => {}
@@ -149,36 +149,40 @@
         self.models_at_ms = Some(at_ms);
         self.models = models.iter().cloned().collect();
         let models = &self.models;
-        self.loading.retain(|model, _| !models.contains(model));
-        self.avoid.retain(|model, _| !models.contains(model));
+        self.pending_loads
+            .retain(|model, _| !models.contains(model));
+        self.avoid_until_ms
+            .retain(|model, _| !models.contains(model));
     }
 
     pub(crate) fn on_load_ordered(&mut self, now_ms: u64, model: &ModelName, due_ms: u64) {
-        let loading = Loading {
+        let pending_load = PendingLoad {
             ordered_at_ms: now_ms,
             due_ms,
             is_acknowledged: true,
         };
-        self.loading.insert(model.clone(), loading);
+        self.pending_loads.insert(model.clone(), pending_load);
     }
 
     /// Removes overdue loads, so that they are decided again. Only a report
     /// measured after the order shows that the model was not loaded.
     pub(crate) fn expire(&mut self, now_ms: u64, avoid_ms: u64) {
         let measured_at_ms = self.measured_at_ms.unwrap_or_default();
-        let is_expired =
-            |loading: &Loading| now_ms >= loading.due_ms && measured_at_ms > loading.ordered_at_ms;
-        for (model, loading) in &self.loading {
-            if is_expired(loading) && loading.is_acknowledged {
-                self.avoid.insert(model.clone(), now_ms + avoid_ms);
+        let is_expired = |pending_load: &PendingLoad| {
+            now_ms >= pending_load.due_ms && measured_at_ms > pending_load.ordered_at_ms
+        };
+        for (model, pending_load) in &self.pending_loads {
+            if is_expired(pending_load) && pending_load.is_acknowledged {
+                self.avoid_until_ms.insert(model.clone(), now_ms + avoid_ms);
             }
         }
-        self.loading.retain(|_, loading| !is_expired(loading));
-        self.avoid.retain(|_, until_ms| *until_ms > now_ms);
+        self.pending_loads
+            .retain(|_, pending_load| !is_expired(pending_load));
+        self.avoid_until_ms.retain(|_, until_ms| *until_ms > now_ms);
     }
 
     pub(crate) fn loads(&self) -> usize {
-        self.loading.len()
+        self.pending_loads.len()
     }
 
     pub(crate) fn models(&self) -> &BTreeSet<ModelName> {
@@ -236,8 +240,8 @@
             slots: self.slots,
             load: self.load,
             models: self.models.clone(),
-            loading: self.loading.keys().cloned().collect(),
-            avoid: self.avoid.keys().cloned().collect(),
+            loading: self.pending_loads.keys().cloned().collect(),
+            avoided_models: self.avoid_until_ms.keys().cloned().collect(),
             is_orderable: is_orderable && !self.has_pending_order,
         }
     }
--- a/crates/core/tests/execution_refusals.rs
+++ b/crates/core/tests/execution_refusals.rs
@@ -155,7 +155,7 @@
         let mut tried = result.tried.clone();
         tried.sort();
         tried.dedup();
-        assert_eq!(tried.len(), result.tried.len(), "none is asked twice");
+        assert_eq!(tried.len(), result.tried.len(), "none is tried twice");
         assert_eq!(result.completion.outcome, Outcome::Failed);
         assert!(
             result
--- a/crates/core/tests/placement_moves.rs
+++ b/crates/core/tests/placement_moves.rs
@@ -152,8 +152,9 @@
         let objects = Objects::new(Fencing::Checked, 6, &models);
         let mut world = World::new(objects, PlacementSettings::default());
         let mut noisy_demand = |_| {
-            let at = names.iter().zip(means);
-            at.map(|(name, mean)| (*name, mean * rng.random_range(0.2..1.8)))
+            let pairs = names.iter().zip(means);
+            pairs
+                .map(|(name, mean)| (*name, mean * rng.random_range(0.2..1.8)))
                 .collect()
         };
         world.run(20 * MINUTE_MS, &mut noisy_demand);
@@ -181,15 +182,15 @@
 enum Op {
     Run { s: u64 },
     Demand { model: usize, slots: u32 },
-    Kill { at: usize },
-    Revive { at: usize },
-    Leave { at: usize },
+    Kill { engine: usize },
+    Revive { engine: usize },
+    Leave { engine: usize },
     Replicas { model: usize, min_replicas: u32 },
 }
 
 impl Arbitrary for Op {
     fn arbitrary(g: &mut Gen) -> Self {
-        let (at, model) = (usize::arbitrary(g) % 4, usize::arbitrary(g) % 3);
+        let (engine, model) = (usize::arbitrary(g) % 4, usize::arbitrary(g) % 3);
         match u8::arbitrary(g) % 9 {
             0..=2 => Self::Run {
                 s: u64::from(u8::arbitrary(g)) + 1,
@@ -198,9 +199,9 @@
                 model,
                 slots: u32::arbitrary(g) % 20,
             },
-            5 => Self::Kill { at },
-            6 => Self::Revive { at },
-            7 => Self::Leave { at },
+            5 => Self::Kill { engine },
+            6 => Self::Revive { engine },
+            7 => Self::Leave { engine },
             _ => Self::Replicas {
                 model,
                 min_replicas: u32::arbitrary(g) % 4,
@@ -225,15 +226,15 @@
             match op {
                 Op::Run { s } => world.run(s * 1_000, |_| demand.to_vec()),
                 Op::Demand { model, slots } => demand[model].1 = f64::from(slots),
-                Op::Kill { at } => {
-                    world.engines.engines[at].is_dead = true;
+                Op::Kill { engine } => {
+                    world.engines.engines[engine].is_dead = true;
                     // Its replicas count until the loss is detected.
                     world.run(30_000, |_| demand.to_vec());
                     world.faults.clear();
                 }
-                Op::Revive { at } => world.engines.engines[at].revive(),
-                Op::Leave { at } => {
-                    world.engines.engines[at].is_leaving = true;
+                Op::Revive { engine } => world.engines.engines[engine].revive(),
+                Op::Leave { engine } => {
+                    world.engines.engines[engine].is_leaving = true;
                     world.run(2_000, |_| demand.to_vec());
                     world.faults.clear();
                 }
--- a/crates/core/tests/placer_election.rs
+++ b/crates/core/tests/placer_election.rs
@@ -32,7 +32,7 @@
         for op in ops {
             match op {
                 // If all instances left, no candidate would remain.
-                Op::Leave { at } => world.apply(Op::Restart { at }),
+                Op::Leave { instance } => world.apply(Op::Restart { instance }),
                 op => world.apply(op),
             }
         }
@@ -51,20 +51,20 @@
 fn of_racing_claims_one_wins_and_its_lost_answer_does_not_matter() {
     for fate in [Fate::Appended, Fate::AnswerLost, Fate::DoneTwice] {
         let mut world = World::new();
-        for at in 0..INSTANCES {
-            world.read(at, usize::MAX);
+        for instance in 0..INSTANCES {
+            world.read(instance, usize::MAX);
         }
         world.pass(2_900);
-        for at in 0..INSTANCES {
-            world.read(at, usize::MAX);
+        for instance in 0..INSTANCES {
+            world.read(instance, usize::MAX);
         }
         world.pass(2_600);
-        for at in 0..INSTANCES {
-            world.event(at, Event::Tick);
+        for instance in 0..INSTANCES {
+            world.event(instance, Event::Tick);
         }
         assert!(world.nodes.iter().filter(|n| n.append.is_some()).count() > 1);
-        for at in 0..INSTANCES {
-            world.append(at, fate);
+        for instance in 0..INSTANCES {
+            world.append(instance, fate);
         }
         world.run(1_000);
         assert_eq!(world.placers().len(), 1, "{fate:?}");
@@ -77,13 +77,13 @@
     let mut world = World::new();
     world.run(5_000);
     let old = world.placers()[0];
-    world.apply(Op::Freeze { at: old });
+    world.apply(Op::Freeze { instance: old });
     world.run(2 * world.settings.silence_ms());
     let new = world.placers();
     assert_eq!(new.len(), 1);
     assert_ne!(new[0], old);
 
-    world.apply(Op::Thaw { at: old });
+    world.apply(Op::Thaw { instance: old });
     assert_eq!(world.placers(), new);
     let (own, other) = (&world.nodes[old].placer, &world.nodes[new[0]].placer);
     // It has not read the new claim yet and still considers itself the placer.
@@ -98,10 +98,10 @@
     let placer = world.placers();
     for _ in 0..50 {
         world.pass(2_000);
-        for at in 0..INSTANCES {
-            world.append(at, Fate::NeverArrived);
-            world.apply(Op::ReadFails { at });
-            world.event(at, Event::Tick);
+        for instance in 0..INSTANCES {
+            world.append(instance, Fate::NeverArrived);
+            world.apply(Op::ReadFails { instance });
+            world.event(instance, Event::Tick);
         }
     }
     assert_eq!(world.placers(), Vec::<usize>::new());
@@ -114,7 +114,7 @@
     let mut world = World::new();
     world.run(6_000);
     let old = world.placers()[0];
-    world.apply(Op::Leave { at: old });
+    world.apply(Op::Leave { instance: old });
     assert_eq!(world.placers(), Vec::<usize>::new());
     world.run(6_000);
     let new = world.placers()[0];
@@ -188,12 +188,12 @@
 fn an_engine_that_saw_a_higher_number_stops_the_placer() {
     let mut world = World::new();
     world.run(5_000);
-    let at = world.placers()[0];
-    let term = world.nodes[at].placer.own_term().unwrap();
-    world.event(at, Event::Fenced { highest: term.0 });
-    assert_eq!(world.placers(), [at]);
+    let instance = world.placers()[0];
+    let term = world.nodes[instance].placer.own_term().unwrap();
+    world.event(instance, Event::Fenced { highest: term.0 });
+    assert_eq!(world.placers(), [instance]);
     world.event(
-        at,
+        instance,
         Event::Fenced {
             highest: term.0 + 1,
         },
@@ -226,13 +226,13 @@
     world.pass(10_000);
     world.event(old, Event::Tick);
     world.append(old, Fate::Appended);
-    let others: Vec<_> = (0..INSTANCES).filter(|at| *at != old).collect();
+    let others: Vec<_> = (0..INSTANCES).filter(|instance| *instance != old).collect();
     for _ in 0..40 {
         world.pass(1_000);
-        for at in &others {
-            world.read(*at, usize::MAX);
-            world.event(*at, Event::Tick);
-            world.append(*at, Fate::Appended);
+        for instance in &others {
+            world.read(*instance, usize::MAX);
+            world.event(*instance, Event::Tick);
+            world.append(*instance, Fate::Appended);
         }
     }
     let new = world.placers();
--- a/crates/core/tests/placer_orders.rs
+++ b/crates/core/tests/placer_orders.rs
@@ -45,35 +45,35 @@
     }
 
     /// Checks the permit of a placer and runs one reconciliation round.
-    fn check(&mut self, at: usize) {
-        if self.world.nodes[at].is_frozen {
+    fn check(&mut self, instance: usize) {
+        if self.world.nodes[instance].is_frozen {
             return;
         }
-        let now_ms = self.world.local_ms(at);
-        let Some(permit) = self.world.nodes[at].placer.permit(now_ms) else {
+        let now_ms = self.world.local_ms(instance);
+        let Some(permit) = self.world.nodes[instance].placer.permit(now_ms) else {
             return;
         };
         for report in self.engines.reports(self.world.now_ms) {
-            self.reconcilers[at].on_report(now_ms, &report);
+            self.reconcilers[instance].on_report(now_ms, &report);
         }
-        let round = self.reconcilers[at].round(now_ms, &self.objects.layout(), &permit);
-        self.checked[at].extend(round.orders);
+        let round = self.reconcilers[instance].round(now_ms, &self.objects.layout(), &permit);
+        self.checked[instance].extend(round.orders);
     }
 
     /// Sends the checked orders; a frozen placer sends them after it has
     /// resumed.
-    fn send(&mut self, at: usize) {
-        if self.world.nodes[at].is_frozen {
+    fn send(&mut self, instance: usize) {
+        if self.world.nodes[instance].is_frozen {
             return;
         }
-        for order in std::mem::take(&mut self.checked[at]) {
+        for order in std::mem::take(&mut self.checked[instance]) {
             let result = self.engines.order(self.world.now_ms, &order, SIZE_MB);
             if matches!(result, OrderResult::Applied { .. }) && order.fence < self.newest_fence {
                 self.stale.push(order.clone());
             }
             self.newest_fence = self.newest_fence.max(order.fence);
-            let now_ms = self.world.local_ms(at);
-            self.reconcilers[at].on_result(now_ms, &order, &result);
+            let now_ms = self.world.local_ms(instance);
+            self.reconcilers[instance].on_result(now_ms, &order, &result);
         }
     }
 
@@ -82,17 +82,17 @@
         while self.world.now_ms < end_ms {
             self.world.run(ROUND_MS);
             self.engines.advance(self.world.now_ms);
-            for at in 0..INSTANCES {
-                self.check(at);
-                self.send(at);
+            for instance in 0..INSTANCES {
+                self.check(instance);
+                self.send(instance);
             }
         }
     }
 
     fn apply(&mut self, op: Op) {
-        if let Op::Restart { at } = op {
-            self.checked[at].clear();
-            self.reconcilers[at] = Reconciler::new(PlacementSettings::default());
+        if let Op::Restart { instance } = op {
+            self.checked[instance].clear();
+            self.reconcilers[instance] = Reconciler::new(PlacementSettings::default());
         }
         self.world.apply(op);
     }
@@ -112,17 +112,19 @@
             .all(|(found, min_replicas)| found >= min_replicas)
     }
 
-    /// Adds a checked unload that the placer `at` could have decided on under
+    /// Adds a checked unload that the placer `instance` could have decided on under
     /// an earlier configuration.
-    fn check_unload(&mut self, at: usize, engine: usize, model: usize) {
-        if self.world.nodes[at].is_frozen {
+    fn check_unload(&mut self, instance: usize, engine: usize, model: usize) {
+        if self.world.nodes[instance].is_frozen {
             return;
         }
-        let permit = self.world.nodes[at].placer.permit(self.world.local_ms(at));
+        let permit = self.world.nodes[instance]
+            .placer
+            .permit(self.world.local_ms(instance));
         // No unload is decided on before the engines have learned the fencing
         // number.
         if let Some(permit) = permit.filter(|permit| permit.fence == self.newest_fence) {
-            self.checked[at].push(Order {
+            self.checked[instance].push(Order {
                 fence: permit.fence,
                 backend: self.engines.engines[engine].name.as_str().into(),
                 fencing: self.objects.pools[0].fencing,
@@ -152,13 +154,13 @@
                 self.checked[old].push(unload(&engine.name, model));
             }
         }
-        self.world.apply(Op::Freeze { at: old });
+        self.world.apply(Op::Freeze { instance: old });
         self.run(90_000);
         assert!(self.has_all_replicas());
         let new = self.world.placers()[0];
         self.newest_fence = self.world.nodes[new].placer.own_term().unwrap().0;
         assert!(self.newest_fence > fence);
-        self.world.apply(Op::Thaw { at: old });
+        self.world.apply(Op::Thaw { instance: old });
         self.send(old);
     }
 }
@@ -191,15 +193,15 @@
 enum Step {
     Placer(Op),
     Check {
-        at: usize,
+        instance: usize,
     },
     CheckUnload {
-        at: usize,
+        instance: usize,
         engine: usize,
         model: usize,
     },
     Send {
-        at: usize,
+        instance: usize,
     },
     Run {
         ms: u64,
@@ -208,17 +210,17 @@
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        let at = usize::arbitrary(g) % INSTANCES;
+        let instance = usize::arbitrary(g) % INSTANCES;
         match u8::arbitrary(g) % 10 {
             0..=2 => match Op::arbitrary(g) {
                 // No placer would remain.
-                Op::Leave { at } => Self::Placer(Op::Restart { at }),
+                Op::Leave { instance } => Self::Placer(Op::Restart { instance }),
                 op => Self::Placer(op),
             },
-            3..=4 => Self::Check { at },
-            5..=6 => Self::Send { at },
+            3..=4 => Self::Check { instance },
+            5..=6 => Self::Send { instance },
             7..=8 => Self::CheckUnload {
-                at,
+                instance,
                 engine: usize::arbitrary(g) % ENGINES,
                 model: usize::arbitrary(g) % MODELS.len(),
             },
@@ -235,9 +237,13 @@
     for step in steps {
         match step {
             Step::Placer(op) => scenario.apply(op),
-            Step::Check { at } => scenario.check(at),
-            Step::CheckUnload { at, engine, model } => scenario.check_unload(at, engine, model),
-            Step::Send { at } => scenario.send(at),
+            Step::Check { instance } => scenario.check(instance),
+            Step::CheckUnload {
+                instance,
+                engine,
+                model,
+            } => scenario.check_unload(instance, engine, model),
+            Step::Send { instance } => scenario.send(instance),
             Step::Run { ms } => scenario.run(ms),
         }
         scenario.engines.advance(scenario.world.now_ms);
--- a/crates/core/tests/placer_world/mod.rs
+++ b/crates/core/tests/placer_world/mod.rs
@@ -30,20 +30,20 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Op {
     Pass { ms: u64 },
-    Append { at: usize, fate: Fate },
+    Append { instance: usize, fate: Fate },
     Arrive,
-    Read { at: usize, max_records: usize },
-    ReadFails { at: usize },
-    Freeze { at: usize },
-    Thaw { at: usize },
+    Read { instance: usize, max_records: usize },
+    ReadFails { instance: usize },
+    Freeze { instance: usize },
+    Thaw { instance: usize },
     Run { ms: u64 },
-    Restart { at: usize },
-    Leave { at: usize },
+    Restart { instance: usize },
+    Leave { instance: usize },
 }
 
 impl Arbitrary for Op {
     fn arbitrary(g: &mut Gen) -> Self {
-        let at = usize::arbitrary(g) % INSTANCES;
+        let instance = usize::arbitrary(g) % INSTANCES;
         let ms = *g.choose(&DELAYS_MS).unwrap();
         let fates = [
             Fate::Appended,
@@ -56,14 +56,17 @@
         let max_records = usize::arbitrary(g) % 4;
         match u8::arbitrary(g) % 20 {
             0..=1 => Self::Pass { ms },
-            2..=4 => Self::Append { at, fate },
+            2..=4 => Self::Append { instance, fate },
             5 => Self::Arrive,
-            6..=8 => Self::Read { at, max_records },
-            9 => Self::ReadFails { at },
-            10..=11 => Self::Freeze { at },
-            12..=13 => Self::Thaw { at },
-            14 => Self::Restart { at },
-            15 => Self::Leave { at },
+            6..=8 => Self::Read {
+                instance,
+                max_records,
+            },
+            9 => Self::ReadFails { instance },
+            10..=11 => Self::Freeze { instance },
+            12..=13 => Self::Thaw { instance },
+            14 => Self::Restart { instance },
+            15 => Self::Leave { instance },
             _ => Self::Run { ms },
         }
     }
@@ -101,20 +104,20 @@
             faults: Vec::new(),
             runs: 0,
         };
-        for at in 0..INSTANCES {
-            let node = world.new_node(at);
+        for instance in 0..INSTANCES {
+            let node = world.new_node(instance);
             world.nodes.push(node);
         }
-        for at in 0..INSTANCES {
-            world.become_candidate(at);
+        for instance in 0..INSTANCES {
+            world.become_candidate(instance);
         }
         world
     }
 
-    fn new_node(&mut self, at: usize) -> Node {
+    fn new_node(&mut self, instance: usize) -> Node {
         self.runs += 1;
         let incarnation = Incarnation(self.runs);
-        let name = format!("entry-{at}");
+        let name = format!("entry-{instance}");
         Node {
             placer: Placer::new(name.as_str().into(), incarnation, self.settings, self.runs),
             incarnation,
@@ -125,18 +128,21 @@
         }
     }
 
-    fn become_candidate(&mut self, at: usize) {
-        let rank = at as u64;
-        self.event(at, Event::RoleChanged(ElectionRole::Candidate { rank }));
+    fn become_candidate(&mut self, instance: usize) {
+        let rank = instance as u64;
+        self.event(
+            instance,
+            Event::RoleChanged(ElectionRole::Candidate { rank }),
+        );
     }
 
-    pub fn local_ms(&self, at: usize) -> u64 {
-        self.now_ms * (1_000 + CLOCK_DRIFTS_PER_MILLE[at]) / 1_000
+    pub fn local_ms(&self, instance: usize) -> u64 {
+        self.now_ms * (1_000 + CLOCK_DRIFTS_PER_MILLE[instance]) / 1_000
     }
 
-    pub fn event(&mut self, at: usize, event: Event) {
-        let now_ms = self.local_ms(at);
-        let node = &mut self.nodes[at];
+    pub fn event(&mut self, instance: usize, event: Event) {
+        let now_ms = self.local_ms(instance);
+        let node = &mut self.nodes[instance];
         if node.is_frozen {
             return;
         }
@@ -153,26 +159,29 @@
     pub fn apply(&mut self, op: Op) {
         match op {
             Op::Pass { ms } => self.pass(ms),
-            Op::Append { at, fate } => self.append(at, fate),
+            Op::Append { instance, fate } => self.append(instance, fate),
             Op::Arrive => {
                 if let Some(record) = self.delayed_appends.pop() {
                     self.log.push(record);
                 }
             }
-            Op::Read { at, max_records } => self.read(at, max_records),
-            Op::ReadFails { at } => {
-                if !self.nodes[at].is_frozen && self.nodes[at].read.take().is_some() {
-                    self.event(at, Event::ReadFailed);
+            Op::Read {
+                instance,
+                max_records,
+            } => self.read(instance, max_records),
+            Op::ReadFails { instance } => {
+                if !self.nodes[instance].is_frozen && self.nodes[instance].read.take().is_some() {
+                    self.event(instance, Event::ReadFailed);
                 }
             }
-            Op::Freeze { at } => self.nodes[at].is_frozen = true,
-            Op::Thaw { at } => self.nodes[at].is_frozen = false,
+            Op::Freeze { instance } => self.nodes[instance].is_frozen = true,
+            Op::Thaw { instance } => self.nodes[instance].is_frozen = false,
             Op::Run { ms } => self.run(ms),
-            Op::Restart { at } => {
-                self.nodes[at] = self.new_node(at);
-                self.become_candidate(at);
+            Op::Restart { instance } => {
+                self.nodes[instance] = self.new_node(instance);
+                self.become_candidate(instance);
             }
-            Op::Leave { at } => self.event(at, Event::Leave),
+            Op::Leave { instance } => self.event(instance, Event::Leave),
         }
         self.check();
     }
@@ -191,20 +200,20 @@
         let end_ms = self.now_ms + ms;
         while self.now_ms < end_ms {
             self.now_ms += STEP_MS;
-            for at in 0..INSTANCES {
-                self.append(at, Fate::Appended);
-                self.read(at, usize::MAX);
-                self.event(at, Event::Tick);
+            for instance in 0..INSTANCES {
+                self.append(instance, Fate::Appended);
+                self.read(instance, usize::MAX);
+                self.event(instance, Event::Tick);
             }
             self.check();
         }
     }
 
-    pub fn append(&mut self, at: usize, fate: Fate) {
-        if self.nodes[at].is_frozen {
+    pub fn append(&mut self, instance: usize, fate: Fate) {
+        if self.nodes[instance].is_frozen {
             return;
         }
-        let Some(record) = self.nodes[at].append.take() else {
+        let Some(record) = self.nodes[instance].append.take() else {
             return;
         };
         match fate {
@@ -216,14 +225,14 @@
                 self.log.push(record);
             }
         }
-        self.event(at, Event::AppendEnded);
+        self.event(instance, Event::AppendEnded);
     }
 
-    pub fn read(&mut self, at: usize, max_records: usize) {
-        if self.nodes[at].is_frozen {
+    pub fn read(&mut self, instance: usize, max_records: usize) {
+        if self.nodes[instance].is_frozen {
             return;
         }
-        let Some(from) = self.nodes[at].read.take() else {
+        let Some(from) = self.nodes[instance].read.take() else {
             return;
         };
         let next = Offset(self.log.len() as u64);
@@ -236,7 +245,7 @@
             record: Some(record.clone()),
         });
         let records = records.collect();
-        self.event(at, Event::Read { next, records });
+        self.event(instance, Event::Read { next, records });
     }
 
     /// Checks that no two instances can give orders to engines that ignore
@@ -245,46 +254,52 @@
     fn check(&mut self) {
         let now_ms = self.now_ms;
         let permits: Vec<_> = (0..INSTANCES)
-            .map(|at| self.nodes[at].placer.permit(self.local_ms(at)))
+            .map(|instance| self.nodes[instance].placer.permit(self.local_ms(instance)))
             .collect();
-        for (at, permit) in permits.iter().enumerate() {
+        for (instance, permit) in permits.iter().enumerate() {
             let Some(permit) = permit else { continue };
             let claim_record = self.log.get(permit.fence as usize);
             let is_own = claim_record.is_some_and(|record| {
                 matches!(record, PlacerRecord::Claim { .. })
-                    && record.incarnation() == self.nodes[at].incarnation
+                    && record.incarnation() == self.nodes[instance].incarnation
             });
             if !is_own {
                 self.faults
-                    .push(format!("{at} holds {permit:?} without its claim"));
+                    .push(format!("{instance} holds {permit:?} without its claim"));
             }
-            if !permit.allows(self.local_ms(at), Fencing::Ignored) {
+            if !permit.allows(self.local_ms(instance), Fencing::Ignored) {
                 continue;
             }
-            for other in (0..INSTANCES).filter(|other| *other != at) {
+            for other in (0..INSTANCES).filter(|other| *other != instance) {
                 let busy_until_ms = self.nodes[other]
                     .last_allowed_ms
                     .map(|last_ms| last_ms + self.settings.order_timeout_ms);
                 if busy_until_ms.is_some_and(|until_ms| until_ms > now_ms) {
-                    self.faults
-                        .push(format!("{at} and {other} can give orders at {now_ms} ms"));
+                    self.faults.push(format!(
+                        "{instance} and {other} can give orders at {now_ms} ms"
+                    ));
                 }
             }
-            self.nodes[at].last_allowed_ms = Some(now_ms);
+            self.nodes[instance].last_allowed_ms = Some(now_ms);
         }
     }
 
     /// Ends all faults and lets the candidates settle.
     pub fn settle(&mut self) {
         self.log.append(&mut self.delayed_appends);
-        for at in 0..INSTANCES {
-            self.nodes[at].is_frozen = false;
+        for instance in 0..INSTANCES {
+            self.nodes[instance].is_frozen = false;
         }
         self.run(4 * self.settings.silence_ms());
     }
 
     pub fn placers(&self) -> Vec<usize> {
-        let is_placer = |at: &usize| self.nodes[*at].placer.permit(self.local_ms(*at)).is_some();
+        let is_placer = |instance: &usize| {
+            self.nodes[*instance]
+                .placer
+                .permit(self.local_ms(*instance))
+                .is_some()
+        };
         (0..INSTANCES).filter(is_placer).collect()
     }
 }
