--- a/crates/core/src/fleet/admission.rs
+++ b/crates/core/src/fleet/admission.rs
@@ -21,8 +21,8 @@
 const OVERLOAD_GAP_MS: u64 = 1_000;
 /// Maximum retry time given to a refused caller, in ms.
 const MAX_RETRY_AFTER_MS: u64 = 30_000;
-/// Factor by which the expected remaining duration of an overload exceeds its
-/// duration so far.
+/// Ratio of the expected remaining duration of an overload to its duration so
+/// far.
 const OVERLOAD_PROJECTION_FACTOR: u64 = 2;
 
 /// The time that a request is expected to take.
--- a/crates/core/src/limiter.rs
+++ b/crates/core/src/limiter.rs
@@ -13,7 +13,8 @@
 /// Maximum workspaces of a shard with a bucket; requests of further ones are
 /// refused. A workspace with a full bucket needs none.
 const MAX_ACTIVE: usize = 4_096;
-/// Minimum rate that is requested as a rate.
+/// Half of the rate from which a demand is requested as a rate; lower demands
+/// with a shallow bucket are requested as missing requests.
 const MIN_RATE: Rate = Rate(1_000_000);
 /// Requested rate in per cent of the observed one.
 const HEADROOM_PERCENT: u64 = 125;
--- a/crates/core/src/placer.rs
+++ b/crates/core/src/placer.rs
@@ -3,10 +3,10 @@
 //!
 //! The stream `placer` carries claims, renewals and resignations. A claim
 //! states the offset that it expects to get and is valid only at that offset.
-//! Of several claims appended after the same record exactly one is therefore
-//! valid, and every reader can tell which one from the record alone. The holder
-//! is the writer of the newest valid claim; the offset of that claim is the
-//! fencing number of every order.
+//! Of several claims made after the same record at most one is therefore valid,
+//! and every reader can tell which one from the record alone. The holder is the
+//! writer of the newest valid claim; the offset of that claim is the fencing
+//! number of every order.
 //!
 //! Any candidate may claim when the holder has been silent for
 //! [`PlacerSettings::silence_ms`]. A holder that was paused may resume after it
