--- a/crates/core/src/claimant.rs
+++ b/crates/core/src/claimant.rs
@@ -503,7 +503,7 @@
             let ending = self.give_up(now_ms, attempt, ClaimReason::NothingSent);
             return ending.map_or(outcome, |ending| ending.outcome);
         }
-        let reported = claim.progress.told(outcome);
+        let reported = claim.progress.reported_outcome(outcome);
         if let Some(state) = self.attempts.remove(&attempt) {
             self.batcher.push(Entry::Done {
                 key: state.request.key,
--- a/crates/core/src/forwarding/placement.rs
+++ b/crates/core/src/forwarding/placement.rs
@@ -134,7 +134,7 @@
             server: server.cloned(),
             reason: match server {
                 None => DecisionReason::NoBackend,
-                Some(_) => DecisionReason::Apart,
+                Some(_) => DecisionReason::Isolated,
             },
             considered: eligible.len(),
         }
@@ -276,7 +276,7 @@
     /// Records that `server` timed out without a response; its request has already been
     /// recorded as abandoned.
     pub fn on_silence_timeout(&mut self, now_ms: u64, server: &BackendName) {
-        self.on_bad_answer(now_ms, server, Fault::Silent);
+        self.on_fault(now_ms, server, Fault::Silent);
     }
 
     /// Records that no connection to `server` could be established.
--- a/crates/core/src/ticket.rs
+++ b/crates/core/src/ticket.rs
@@ -286,7 +286,7 @@
                 Outcome::NotRun
             };
         }
-        let reported = ticket.progress.told(outcome);
+        let reported = ticket.progress.reported_outcome(outcome);
         ticket.state = TicketState::Ended(fingerprint, Completion::new(reported, answer));
         reported
     }
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -1,7 +1,7 @@
 //! Sharing of workspace quotas among instances.
 //!
 //! Each instance reports the demand for its active workspaces to the home of
-//! their shard in its zone every [`REPORT_MS`], and the home of a shard reports
+//! their shard in its zone every [`REPORT_INTERVAL_MS`], and the home of a shard reports
 //! the zone's demand to the home in the shard's lead zone. Responses are grants
 //! that expire. See [`share`](crate::share) for the rate that a claimant may use
 //! and [`quota_allocator`](crate::quota_allocator) for the rates that a home may
@@ -16,11 +16,11 @@
     bucket::BucketRates,
     ids::{Incarnation, InstanceName, WorkspaceName, ZoneName},
     limiter::{Admission, Limiter},
-    pace::{Pace, REPORT_MS},
     quota::{
         ClaimantSize, Level, MIN_ZONE_FLOOR, QuotaClaimant, Rate, UsageGrant, UsageReport,
         WorkspaceKey,
     },
+    report_schedule::{REPORT_INTERVAL_MS, ReportSchedule},
     share::Share,
     topology::{SHARDS, Shard},
 };
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 struct ShardUsage {
     shard: Shard,
-    pace: Pace,
+    pace: ReportSchedule,
     share: Share,
     home: Option<HomeQuotas>,
 }
@@ -56,7 +56,7 @@
     ) -> Self {
         let shard = |shard: Shard| ShardUsage {
             shard,
-            pace: Pace::new(now_ms, now_ms + first_report_delay_ms(shard)),
+            pace: ReportSchedule::new(now_ms, now_ms + first_report_delay_ms(shard)),
             share: Share::starting(now_ms),
             home: None,
         };
@@ -100,7 +100,9 @@
         };
         let admission = self.limiter.admit(now_ms, key, bucket_rates);
         if self.limiter.take_low() {
-            self.shards[usize::from(key.shard().0)].pace.urge();
+            self.shards[usize::from(key.shard().0)]
+                .pace
+                .request_urgent();
         }
         admission
     }
@@ -133,7 +135,7 @@
     }
 
     /// Returns the reports that are due. The reports of the shards are spread over
-    /// [`REPORT_MS`].
+    /// [`REPORT_INTERVAL_MS`].
     pub fn tick(&mut self, now_ms: u64) -> Vec<OutgoingReport> {
         let mut outgoing = Vec::new();
         for index in 0..self.shards.len() {
@@ -191,7 +193,7 @@
             QuotaClaimant::Instance => {
                 if shard.share.on_grant(now_ms, grant) {
                     for grant in grant.grants.iter().filter(|grant| grant.made_up > 0) {
-                        self.limiter.make_up(grant.key, grant.made_up);
+                        self.limiter.credit(grant.key, grant.made_up);
                     }
                 }
             }
@@ -337,5 +339,5 @@
 /// Returns the delay of a shard's first report, which spreads the reports of all
 /// shards over the time between two reports, in ms.
 fn first_report_delay_ms(shard: Shard) -> u64 {
-    u64::from(shard.0) * REPORT_MS / u64::from(SHARDS)
+    u64::from(shard.0) * REPORT_INTERVAL_MS / u64::from(SHARDS)
 }
--- a/crates/core/src/usage/home.rs
+++ b/crates/core/src/usage/home.rs
@@ -2,11 +2,11 @@
 
 use crate::{
     ids::{InstanceName, ZoneName},
-    pace::Pace,
     quota::{
         ClaimantSize, Demand, GRANT_VALIDITY_MS, Grant, Level, Rate, UsageReport, WorkspaceKey,
     },
     quota_allocator::{AllocatableQuota, QuotaAllocator},
+    report_schedule::ReportSchedule,
     share::Share,
 };
 
@@ -24,7 +24,7 @@
     /// Term of this home, which differs from earlier terms.
     pub(super) term: u64,
     /// Pace of the zone's reports to the lead.
-    pub(super) pace: Pace,
+    pub(super) pace: ReportSchedule,
     /// Allocation among the instances of the zone.
     pub(super) instances: QuotaAllocator<InstanceName>,
     /// Grants of the lead to the zone.
@@ -60,7 +60,7 @@
     pub(super) fn new(now_ms: u64, term: u64) -> Self {
         Self {
             term,
-            pace: Pace::new(now_ms, now_ms),
+            pace: ReportSchedule::new(now_ms, now_ms),
             instances: QuotaAllocator::new(now_ms, INSTANCE_EXPIRY_MS, Level::Instance),
             zone: Share::default(),
             lead: None,
@@ -90,7 +90,7 @@
             .on_report(now_ms, from, 0, &report.demands, workspace_quota);
         let is_unmet = |(grant, demand): (&Grant, &Demand)| grant.rate < demand.wanted;
         if grants.iter().zip(&report.demands).any(is_unmet) {
-            self.pace.urge();
+            self.pace.request_urgent();
         }
         ReportResponse {
             term: self.term,
--- a/crates/core/tests/placer_election.rs
+++ b/crates/core/tests/placer_election.rs
@@ -1,4 +1,5 @@
-//! One placer at a time, through races, freezes, lost answers and late appends.
+//! Tests that there is one placer at a time, despite races, freezes, lost
+//! responses and late appends.
 
 mod placer_world;
 
@@ -6,14 +7,14 @@
 use savoryvane_core::{
     ids::{Incarnation, Offset},
     objects::Fencing,
-    placer::{Election, Event, Heard, Placer, PlacerRecord, PlacerSettings},
+    placer::{Election, Event, Placer, PlacerRecord, PlacerSettings, RecordEffect},
 };
 
 const TESTS: u64 = 800;
 
 #[test]
 fn no_two_placers_order_unchecked_engines_at_once() {
-    fn law(ops: Vec<Op>) -> Result<(), String> {
+    fn property(ops: Vec<Op>) -> Result<(), String> {
         let mut world = World::new();
         world.run(5_000);
         for op in ops {
@@ -21,21 +22,21 @@
         }
         world.faults.first().cloned().map_or(Ok(()), Err)
     }
-    seeded(TESTS).quickcheck(law as fn(_) -> _);
+    seeded(TESTS).quickcheck(property as fn(_) -> _);
 }
 
 #[test]
 fn after_any_faults_one_placer_stands_and_all_agree() {
-    fn law(ops: Vec<Op>) -> Result<(), String> {
+    fn property(ops: Vec<Op>) -> Result<(), String> {
         let mut world = World::new();
         for op in ops {
             match op {
-                // Nobody is left to stand up when all have left.
-                Op::Leave { at } => world.apply(Op::Restart { at }),
+                // If all instances left, no candidate would remain.
+                Op::Leave { instance } => world.apply(Op::Restart { instance }),
                 op => world.apply(op),
             }
         }
-        world.calm();
+        world.settle();
         let holders: Vec<_> = world.nodes.iter().map(|n| n.placer.holder()).collect();
         let is_agreed = holders.iter().all(|h| h.is_some() && *h == holders[0]);
         match (world.placers().len(), is_agreed) {
@@ -43,7 +44,7 @@
             _ => Err(format!("{holders:?}, placers {:?}", world.placers())),
         }
     }
-    seeded(TESTS / 4).quickcheck(law as fn(_) -> _);
+    seeded(TESTS / 4).quickcheck(property as fn(_) -> _);
 }
 
 #[test]
@@ -54,20 +55,20 @@
         AppendOutcome::DoneTwice,
     ] {
         let mut world = World::new();
-        for at in 0..INSTANCES {
-            world.read(at, usize::MAX);
+        for instance in 0..INSTANCES {
+            world.read(instance, usize::MAX);
         }
         world.pass(2_900);
-        for at in 0..INSTANCES {
-            world.read(at, usize::MAX);
+        for instance in 0..INSTANCES {
+            world.read(instance, usize::MAX);
         }
         world.pass(2_600);
-        for at in 0..INSTANCES {
-            world.event(at, Event::Tick);
+        for instance in 0..INSTANCES {
+            world.event(instance, Event::Tick);
         }
         assert!(world.nodes.iter().filter(|n| n.append.is_some()).count() > 1);
-        for at in 0..INSTANCES {
-            world.append(at, fate);
+        for instance in 0..INSTANCES {
+            world.append(instance, fate);
         }
         world.run(1_000);
         assert_eq!(world.placers().len(), 1, "{fate:?}");
@@ -80,16 +81,16 @@
     let mut world = World::new();
     world.run(5_000);
     let old = world.placers()[0];
-    world.apply(Op::Freeze { at: old });
+    world.apply(Op::Freeze { instance: old });
     world.run(2 * world.settings.silence_ms());
     let new = world.placers();
     assert_eq!(new.len(), 1);
     assert_ne!(new[0], old);
 
-    world.apply(Op::Thaw { at: old });
+    world.apply(Op::Thaw { instance: old });
     assert_eq!(world.placers(), new);
     let (own, other) = (&world.nodes[old].placer, &world.nodes[new[0]].placer);
-    // It has read nothing yet and still takes itself for the placer.
+    // It has not read the new claim yet and still considers itself the placer.
     assert!(own.own_term() < other.own_term());
     assert_eq!(own.permit(world.local_ms(old)), None);
 }
@@ -101,10 +102,10 @@
     let placer = world.placers();
     for _ in 0..50 {
         world.pass(2_000);
-        for at in 0..INSTANCES {
-            world.append(at, AppendOutcome::NeverArrived);
-            world.apply(Op::ReadFails { at });
-            world.event(at, Event::Tick);
+        for instance in 0..INSTANCES {
+            world.append(instance, AppendOutcome::NeverArrived);
+            world.apply(Op::ReadFails { instance });
+            world.event(instance, Event::Tick);
         }
     }
     assert_eq!(world.placers(), Vec::<usize>::new());
@@ -117,7 +118,7 @@
     let mut world = World::new();
     world.run(6_000);
     let old = world.placers()[0];
-    world.apply(Op::Leave { at: old });
+    world.apply(Op::Leave { instance: old });
     assert_eq!(world.placers(), Vec::<usize>::new());
     world.run(6_000);
     let new = world.placers()[0];
@@ -166,21 +167,24 @@
         renewal(2, 2),
         renewal(0, 1),
     ];
-    let fold = |skip: usize| {
+    let apply_records = |skip: usize| {
         let mut election = Election::default();
-        let heard: Vec<_> = (0u64..)
+        let effects: Vec<_> = (0u64..)
             .zip(&records)
             .skip(skip)
-            .map(|(offset, record)| election.take(Offset(offset), record))
+            .map(|(offset, record)| election.apply(Offset(offset), record))
             .collect();
-        (election.holder().cloned(), heard)
+        (election.holder().cloned(), effects)
     };
-    let (holder, heard) = fold(0);
+    let (holder, effects) = apply_records(0);
     assert_eq!(holder.as_ref().unwrap().term, Offset(2));
-    assert_eq!(heard[3..5], [Heard::Void, Heard::Void]);
-    assert_eq!(heard[6], Heard::Void);
+    assert_eq!(
+        effects[3..5],
+        [RecordEffect::NoEffect, RecordEffect::NoEffect]
+    );
+    assert_eq!(effects[6], RecordEffect::NoEffect);
     for skip in 1..6 {
-        assert_eq!(fold(skip).0, holder, "from {skip} on");
+        assert_eq!(apply_records(skip).0, holder, "from {skip} on");
     }
 }
 
@@ -188,12 +192,12 @@
 fn an_engine_that_saw_a_higher_number_stops_the_placer() {
     let mut world = World::new();
     world.run(5_000);
-    let at = world.placers()[0];
-    let term = world.nodes[at].placer.own_term().unwrap();
-    world.event(at, Event::Fenced { highest: term.0 });
-    assert_eq!(world.placers(), [at]);
+    let instance = world.placers()[0];
+    let term = world.nodes[instance].placer.own_term().unwrap();
+    world.event(instance, Event::Fenced { highest: term.0 });
+    assert_eq!(world.placers(), [instance]);
     world.event(
-        at,
+        instance,
         Event::Fenced {
             highest: term.0 + 1,
         },
@@ -202,11 +206,11 @@
 }
 
 #[test]
-fn trimmed_records_are_passed_over() {
+fn trimmed_records_are_skipped() {
     let settings = PlacerSettings::default();
     let mut placer = Placer::new("entry".into(), Incarnation(1), settings, 1);
-    let candidate = savoryvane_core::placer::Standing::Candidate { rank: 0 };
-    placer.on_event(0, Event::Standing(candidate));
+    let candidate = savoryvane_core::placer::ElectionRole::Candidate { rank: 0 };
+    placer.on_event(0, Event::RoleChanged(candidate));
     let first = Offset(500);
     let actions = placer.on_event(10, Event::Trimmed { first });
     let read = actions.iter().find_map(|action| match action {
@@ -216,7 +220,8 @@
     assert_eq!(read, Some(first));
 }
 
-/// The renewal is read so late that another may have claimed since.
+/// The old placer reads its own renewal so late that another instance has
+/// claimed the term since.
 #[test]
 fn a_renewal_counts_from_its_append_and_not_from_its_reading() {
     let mut world = World::new();
@@ -225,13 +230,13 @@
     world.pass(10_000);
     world.event(old, Event::Tick);
     world.append(old, AppendOutcome::Appended);
-    let others: Vec<_> = (0..INSTANCES).filter(|at| *at != old).collect();
+    let others: Vec<_> = (0..INSTANCES).filter(|instance| *instance != old).collect();
     for _ in 0..40 {
         world.pass(1_000);
-        for at in &others {
-            world.read(*at, usize::MAX);
-            world.event(*at, Event::Tick);
-            world.append(*at, AppendOutcome::Appended);
+        for instance in &others {
+            world.read(*instance, usize::MAX);
+            world.event(*instance, Event::Tick);
+            world.append(*instance, AppendOutcome::Appended);
         }
     }
     let new = world.placers();
--- a/crates/core/tests/placer_orders.rs
+++ b/crates/core/tests/placer_orders.rs
@@ -1,5 +1,5 @@
-//! Orders of several placers to engines that check fencing numbers and engines
-//! that ignore them, with placers frozen between their check and their order.
+//! Tests orders of several placers to engines that check or ignore fencing
+//! numbers, with placers frozen between their permit check and their order.
 
 mod placement_world;
 mod placer_world;
@@ -16,20 +16,20 @@
 const ENGINES: usize = 3;
 const SIZE_MB: u64 = 2_000;
 
-/// Placers, each with its reconciler, and the orders that it has checked and not
+/// Placers with their reconcilers, and the orders that each has checked but not
 /// sent yet.
-struct Joint {
+struct OrderScenario {
     world: World,
     objects: Objects,
     engines: Engines,
     reconcilers: Vec<Reconciler>,
     checked: Vec<Vec<Order>>,
-    /// Orders of a replaced placer that an engine took.
+    /// Orders of a replaced placer that an engine applied.
     stale: Vec<Order>,
     newest_fence: u64,
 }
 
-impl Joint {
+impl OrderScenario {
     fn new(fencing: Fencing) -> Self {
         let objects = Objects::new(fencing, ENGINES, &MODELS);
         let settings = PlacementSettings::default();
@@ -44,35 +44,36 @@
         }
     }
 
-    /// Lets the placer look at the engines and check its permit.
-    fn check(&mut self, at: usize) {
-        if self.world.nodes[at].is_frozen {
+    /// Checks the permit of a placer and runs one reconciliation round.
+    fn check(&mut self, instance: usize) {
+        if self.world.nodes[instance].is_frozen {
             return;
         }
-        let now_ms = self.world.local_ms(at);
-        let Some(permit) = self.world.nodes[at].placer.permit(now_ms) else {
+        let now_ms = self.world.local_ms(instance);
+        let Some(permit) = self.world.nodes[instance].placer.permit(now_ms) else {
             return;
         };
         for report in self.engines.reports(self.world.now_ms) {
-            self.reconcilers[at].on_report(now_ms, &report);
+            self.reconcilers[instance].on_report(now_ms, &report);
         }
-        let round = self.reconcilers[at].round(now_ms, &self.objects.layout(), &permit);
-        self.checked[at].extend(round.orders);
+        let round = self.reconcilers[instance].round(now_ms, &self.objects.layout(), &permit);
+        self.checked[instance].extend(round.orders);
     }
 
-    /// Hands over what was checked; a frozen placer does so when it wakes.
-    fn send(&mut self, at: usize) {
-        if self.world.nodes[at].is_frozen {
+    /// Sends the checked orders; a frozen placer sends them after it has
+    /// resumed.
+    fn send(&mut self, instance: usize) {
+        if self.world.nodes[instance].is_frozen {
             return;
         }
-        for order in std::mem::take(&mut self.checked[at]) {
+        for order in std::mem::take(&mut self.checked[instance]) {
             let result = self.engines.order(self.world.now_ms, &order, SIZE_MB);
             if matches!(result, OrderResult::Applied { .. }) && order.fence < self.newest_fence {
                 self.stale.push(order.clone());
             }
             self.newest_fence = self.newest_fence.max(order.fence);
-            let now_ms = self.world.local_ms(at);
-            self.reconcilers[at].on_result(now_ms, &order, &result);
+            let now_ms = self.world.local_ms(instance);
+            self.reconcilers[instance].on_result(now_ms, &order, &result);
         }
     }
 
@@ -81,17 +82,17 @@
         while self.world.now_ms < end_ms {
             self.world.run(ROUND_MS);
             self.engines.advance(self.world.now_ms);
-            for at in 0..INSTANCES {
-                self.check(at);
-                self.send(at);
+            for instance in 0..INSTANCES {
+                self.check(instance);
+                self.send(instance);
             }
         }
     }
 
     fn apply(&mut self, op: Op) {
-        if let Op::Restart { at } = op {
-            self.checked[at].clear();
-            self.reconcilers[at] = Reconciler::new(PlacementSettings::default());
+        if let Op::Restart { instance } = op {
+            self.checked[instance].clear();
+            self.reconcilers[instance] = Reconciler::new(PlacementSettings::default());
         }
         self.world.apply(op);
     }
@@ -101,24 +102,29 @@
         names.map(|name| self.engines.replicas(name)).collect()
     }
 
-    fn is_as_wanted(&self) -> bool {
-        let least = MODELS.iter().map(|(_, _, least)| *least as usize);
+    fn has_all_replicas(&self) -> bool {
+        let min_replicas = MODELS
+            .iter()
+            .map(|(_, _, min_replicas)| *min_replicas as usize);
         self.replicas()
             .into_iter()
-            .zip(least)
-            .all(|(found, least)| found >= least)
+            .zip(min_replicas)
+            .all(|(found, min_replicas)| found >= min_replicas)
     }
 
-    /// Checks an unload that the placer `at` may have decided on under an
-    /// earlier configuration.
-    fn check_unload(&mut self, at: usize, engine: usize, model: usize) {
-        if self.world.nodes[at].is_frozen {
+    /// Adds a checked unload that the placer `instance` could have decided on under
+    /// an earlier configuration.
+    fn check_unload(&mut self, instance: usize, engine: usize, model: usize) {
+        if self.world.nodes[instance].is_frozen {
             return;
         }
-        let permit = self.world.nodes[at].placer.permit(self.world.local_ms(at));
-        // None is decided on before the engines were told the term's number.
+        let permit = self.world.nodes[instance]
+            .placer
+            .permit(self.world.local_ms(instance));
+        // No unload is decided on before the engines have learned the fencing
+        // number.
         if let Some(permit) = permit.filter(|permit| permit.fence == self.newest_fence) {
-            self.checked[at].push(Order {
+            self.checked[instance].push(Order {
                 fence: permit.fence,
                 backend: self.engines.engines[engine].name.as_str().into(),
                 fencing: self.objects.pools[0].fencing,
@@ -128,11 +134,11 @@
         }
     }
 
-    /// Freezes the placer with an unload of each replica checked and not sent,
-    /// until another one has stood up and settled; then wakes it.
-    fn wake_old_placer_with_unloads(&mut self) {
+    /// Freezes the placer with a checked but unsent unload of each replica
+    /// until another one has been elected and has settled; then resumes it.
+    fn resume_old_placer_with_unloads(&mut self) {
         self.run(60_000);
-        assert!(self.is_as_wanted());
+        assert!(self.has_all_replicas());
         let old = self.world.placers()[0];
         let fence = self.world.nodes[old].placer.own_term().unwrap().0;
         let fencing = self.objects.pools[0].fencing;
@@ -148,50 +154,54 @@
                 self.checked[old].push(unload(&engine.name, model));
             }
         }
-        self.world.apply(Op::Freeze { at: old });
+        self.world.apply(Op::Freeze { instance: old });
         self.run(90_000);
-        assert!(self.is_as_wanted());
+        assert!(self.has_all_replicas());
         let new = self.world.placers()[0];
         self.newest_fence = self.world.nodes[new].placer.own_term().unwrap().0;
         assert!(self.newest_fence > fence);
-        self.world.apply(Op::Thaw { at: old });
+        self.world.apply(Op::Thaw { instance: old });
         self.send(old);
     }
 }
 
 #[test]
 fn engines_that_check_refuse_a_woken_placer() {
-    let mut joint = Joint::new(Fencing::Checked);
-    joint.wake_old_placer_with_unloads();
-    assert_eq!(joint.stale, []);
-    assert!(joint.is_as_wanted());
-    joint.run(60_000);
-    assert!(joint.is_as_wanted());
+    let mut scenario = OrderScenario::new(Fencing::Checked);
+    scenario.resume_old_placer_with_unloads();
+    assert_eq!(scenario.stale, []);
+    assert!(scenario.has_all_replicas());
+    scenario.run(60_000);
+    assert!(scenario.has_all_replicas());
 }
 
 #[test]
 fn engines_that_ignore_the_number_are_put_right_after_a_woken_placer() {
-    let mut joint = Joint::new(Fencing::Ignored);
-    joint.wake_old_placer_with_unloads();
-    assert_eq!(joint.stale.len(), ENGINES * MODELS.len());
-    assert_eq!(joint.replicas(), [0, 0], "what is still possible");
-    joint.run(60_000);
-    assert!(joint.is_as_wanted());
+    let mut scenario = OrderScenario::new(Fencing::Ignored);
+    scenario.resume_old_placer_with_unloads();
+    assert_eq!(scenario.stale.len(), ENGINES * MODELS.len());
+    assert_eq!(
+        scenario.replicas(),
+        [0, 0],
+        "stale unloads still reach them"
+    );
+    scenario.run(60_000);
+    assert!(scenario.has_all_replicas());
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Placer(Op),
     Check {
-        at: usize,
+        instance: usize,
     },
     CheckUnload {
-        at: usize,
+        instance: usize,
         engine: usize,
         model: usize,
     },
     Send {
-        at: usize,
+        instance: usize,
     },
     Run {
         ms: u64,
@@ -200,17 +210,17 @@
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        let at = usize::arbitrary(g) % INSTANCES;
+        let instance = usize::arbitrary(g) % INSTANCES;
         match u8::arbitrary(g) % 10 {
             0..=2 => match Op::arbitrary(g) {
-                // Nobody would be left to place.
-                Op::Leave { at } => Self::Placer(Op::Restart { at }),
+                // No placer would remain.
+                Op::Leave { instance } => Self::Placer(Op::Restart { instance }),
                 op => Self::Placer(op),
             },
-            3..=4 => Self::Check { at },
-            5..=6 => Self::Send { at },
+            3..=4 => Self::Check { instance },
+            5..=6 => Self::Send { instance },
             7..=8 => Self::CheckUnload {
-                at,
+                instance,
                 engine: usize::arbitrary(g) % ENGINES,
                 model: usize::arbitrary(g) % MODELS.len(),
             },
@@ -221,38 +231,49 @@
     }
 }
 
-fn after_any_order_of_events(fencing: Fencing, steps: Vec<Step>) -> Result<(), String> {
-    let mut joint = Joint::new(fencing);
-    joint.run(20_000);
+fn check_recovery(fencing: Fencing, steps: Vec<Step>) -> Result<(), String> {
+    let mut scenario = OrderScenario::new(fencing);
+    scenario.run(20_000);
     for step in steps {
         match step {
-            Step::Placer(op) => joint.apply(op),
-            Step::Check { at } => joint.check(at),
-            Step::CheckUnload { at, engine, model } => joint.check_unload(at, engine, model),
-            Step::Send { at } => joint.send(at),
-            Step::Run { ms } => joint.run(ms),
+            Step::Placer(op) => scenario.apply(op),
+            Step::Check { instance } => scenario.check(instance),
+            Step::CheckUnload {
+                instance,
+                engine,
+                model,
+            } => scenario.check_unload(instance, engine, model),
+            Step::Send { instance } => scenario.send(instance),
+            Step::Run { ms } => scenario.run(ms),
         }
-        joint.engines.advance(joint.world.now_ms);
+        scenario.engines.advance(scenario.world.now_ms);
     }
-    joint.world.calm();
-    joint.run(180_000);
-    // An engine that reports nothing is not told the number; a load does no harm.
-    joint.stale.retain(|order| order.kind == OrderKind::Unload);
-    let is_fenced = fencing == Fencing::Ignored || joint.stale.is_empty();
-    match joint.is_as_wanted() && is_fenced {
+    scenario.world.settle();
+    scenario.run(180_000);
+    // An engine without models does not learn the fencing number; a stale load
+    // does no harm.
+    scenario
+        .stale
+        .retain(|order| order.kind == OrderKind::Unload);
+    let is_fenced = fencing == Fencing::Ignored || scenario.stale.is_empty();
+    match scenario.has_all_replicas() && is_fenced {
         true => Ok(()),
-        false => Err(format!("{:?}, stale {:?}", joint.replicas(), joint.stale)),
+        false => Err(format!(
+            "{:?}, stale {:?}",
+            scenario.replicas(),
+            scenario.stale
+        )),
     }
 }
 
 #[test]
 fn engines_end_as_wanted_whatever_the_placers_do() {
-    fn law(is_checked: bool, steps: Vec<Step>) -> Result<(), String> {
+    fn property(is_checked: bool, steps: Vec<Step>) -> Result<(), String> {
         let fencing = match is_checked {
             true => Fencing::Checked,
             false => Fencing::Ignored,
         };
-        after_any_order_of_events(fencing, steps)
+        check_recovery(fencing, steps)
     }
-    seeded(120).quickcheck(law as fn(_, _) -> _);
+    seeded(120).quickcheck(property as fn(_, _) -> _);
 }
--- a/crates/core/tests/placer_world/mod.rs
+++ b/crates/core/tests/placer_world/mod.rs
@@ -1,6 +1,6 @@
-//! A few candidates over one log that loses answers and delays appends, with
-//! clocks that drift and instances that freeze.
-#![allow(dead_code)] // each test file uses a part
+//! A simulation of a few candidates over one log that loses responses and
+//! delays appends, with drifting clocks and instances that freeze.
+#![allow(dead_code)] // each test file uses only some of the helpers
 
 #[path = "../append_outcome/mod.rs"]
 mod append_outcome;
@@ -9,7 +9,7 @@
 use savoryvane_core::{
     ids::{Incarnation, Offset},
     objects::Fencing,
-    placer::{Action, Event, Placer, PlacerRecord, PlacerSettings, Received, Standing},
+    placer::{Action, ElectionRole, Event, Placer, PlacerRecord, PlacerSettings, Received},
 };
 
 pub use append_outcome::AppendOutcome;
@@ -18,9 +18,9 @@
 const SEED: u64 = 0x5eed;
 const GEN_SIZE: usize = 120;
 const STEP_MS: u64 = 200;
-const PASSES_MS: [u64; 6] = [100, 400, 2_000, 5_000, 12_000, 40_000];
-/// How many more milliseconds in a thousand the clock of each instance counts.
-const DRIFTS_PER_MILLE: [u64; INSTANCES] = [0, 5, 10];
+const DELAYS_MS: [u64; 6] = [100, 400, 2_000, 5_000, 12_000, 40_000];
+/// Excess rate of the clock of each instance, in thousandths.
+const CLOCK_DRIFTS_PER_MILLE: [u64; INSTANCES] = [0, 5, 10];
 
 pub fn seeded(tests: u64) -> QuickCheck {
     let rng = Gen::from_size_and_seed(GEN_SIZE, SEED);
@@ -29,22 +29,42 @@
 
 #[derive(Clone, Copy, Debug)]
 pub enum Op {
-    Pass { ms: u64 },
-    Append { at: usize, fate: AppendOutcome },
+    Pass {
+        ms: u64,
+    },
+    Append {
+        instance: usize,
+        fate: AppendOutcome,
+    },
     Arrive,
-    Read { at: usize, most: usize },
-    ReadFails { at: usize },
-    Freeze { at: usize },
-    Thaw { at: usize },
-    Run { ms: u64 },
-    Restart { at: usize },
-    Leave { at: usize },
+    Read {
+        instance: usize,
+        max_records: usize,
+    },
+    ReadFails {
+        instance: usize,
+    },
+    Freeze {
+        instance: usize,
+    },
+    Thaw {
+        instance: usize,
+    },
+    Run {
+        ms: u64,
+    },
+    Restart {
+        instance: usize,
+    },
+    Leave {
+        instance: usize,
+    },
 }
 
 impl Arbitrary for Op {
     fn arbitrary(g: &mut Gen) -> Self {
-        let at = usize::arbitrary(g) % INSTANCES;
-        let ms = *g.choose(&PASSES_MS).unwrap();
+        let instance = usize::arbitrary(g) % INSTANCES;
+        let ms = *g.choose(&DELAYS_MS).unwrap();
         let fates = [
             AppendOutcome::Appended,
             AppendOutcome::AnswerLost,
@@ -53,17 +73,20 @@
             AppendOutcome::DoneTwice,
         ];
         let fate = *g.choose(&fates).unwrap();
-        let most = usize::arbitrary(g) % 4;
+        let max_records = usize::arbitrary(g) % 4;
         match u8::arbitrary(g) % 20 {
             0..=1 => Self::Pass { ms },
-            2..=4 => Self::Append { at, fate },
+            2..=4 => Self::Append { instance, fate },
             5 => Self::Arrive,
-            6..=8 => Self::Read { at, most },
-            9 => Self::ReadFails { at },
-            10..=11 => Self::Freeze { at },
-            12..=13 => Self::Thaw { at },
-            14 => Self::Restart { at },
-            15 => Self::Leave { at },
+            6..=8 => Self::Read {
+                instance,
+                max_records,
+            },
+            9 => Self::ReadFails { instance },
+            10..=11 => Self::Freeze { instance },
+            12..=13 => Self::Thaw { instance },
+            14 => Self::Restart { instance },
+            15 => Self::Leave { instance },
             _ => Self::Run { ms },
         }
     }
@@ -75,7 +98,8 @@
     pub is_frozen: bool,
     pub read: Option<Offset>,
     pub append: Option<PlacerRecord>,
-    /// Last time at which engines that ignore the number might be ordered.
+    /// Last time at which engines that ignore fencing numbers could be given
+    /// orders, in ms.
     pub last_allowed_ms: Option<u64>,
 }
 
@@ -83,7 +107,7 @@
     pub now_ms: u64,
     pub settings: PlacerSettings,
     pub log: Vec<PlacerRecord>,
-    pub late: Vec<PlacerRecord>,
+    pub delayed_appends: Vec<PlacerRecord>,
     pub nodes: Vec<Node>,
     pub faults: Vec<String>,
     runs: u64,
@@ -95,25 +119,25 @@
             now_ms: 1_000,
             settings: PlacerSettings::default(),
             log: Vec::new(),
-            late: Vec::new(),
+            delayed_appends: Vec::new(),
             nodes: Vec::new(),
             faults: Vec::new(),
             runs: 0,
         };
-        for at in 0..INSTANCES {
-            let node = world.new_node(at);
+        for instance in 0..INSTANCES {
+            let node = world.new_node(instance);
             world.nodes.push(node);
         }
-        for at in 0..INSTANCES {
-            world.stand(at);
+        for instance in 0..INSTANCES {
+            world.become_candidate(instance);
         }
         world
     }
 
-    fn new_node(&mut self, at: usize) -> Node {
+    fn new_node(&mut self, instance: usize) -> Node {
         self.runs += 1;
         let incarnation = Incarnation(self.runs);
-        let name = format!("entry-{at}");
+        let name = format!("entry-{instance}");
         Node {
             placer: Placer::new(name.as_str().into(), incarnation, self.settings, self.runs),
             incarnation,
@@ -124,18 +148,21 @@
         }
     }
 
-    fn stand(&mut self, at: usize) {
-        let rank = at as u64;
-        self.event(at, Event::Standing(Standing::Candidate { rank }));
+    fn become_candidate(&mut self, instance: usize) {
+        let rank = instance as u64;
+        self.event(
+            instance,
+            Event::RoleChanged(ElectionRole::Candidate { rank }),
+        );
     }
 
-    pub fn local_ms(&self, at: usize) -> u64 {
-        self.now_ms * (1_000 + DRIFTS_PER_MILLE[at]) / 1_000
+    pub fn local_ms(&self, instance: usize) -> u64 {
+        self.now_ms * (1_000 + CLOCK_DRIFTS_PER_MILLE[instance]) / 1_000
     }
 
-    pub fn event(&mut self, at: usize, event: Event) {
-        let now_ms = self.local_ms(at);
-        let node = &mut self.nodes[at];
+    pub fn event(&mut self, instance: usize, event: Event) {
+        let now_ms = self.local_ms(instance);
+        let node = &mut self.nodes[instance];
         if node.is_frozen {
             return;
         }
@@ -152,31 +179,34 @@
     pub fn apply(&mut self, op: Op) {
         match op {
             Op::Pass { ms } => self.pass(ms),
-            Op::Append { at, fate } => self.append(at, fate),
+            Op::Append { instance, fate } => self.append(instance, fate),
             Op::Arrive => {
-                if let Some(record) = self.late.pop() {
+                if let Some(record) = self.delayed_appends.pop() {
                     self.log.push(record);
                 }
             }
-            Op::Read { at, most } => self.read(at, most),
-            Op::ReadFails { at } => {
-                if !self.nodes[at].is_frozen && self.nodes[at].read.take().is_some() {
-                    self.event(at, Event::ReadFailed);
+            Op::Read {
+                instance,
+                max_records,
+            } => self.read(instance, max_records),
+            Op::ReadFails { instance } => {
+                if !self.nodes[instance].is_frozen && self.nodes[instance].read.take().is_some() {
+                    self.event(instance, Event::ReadFailed);
                 }
             }
-            Op::Freeze { at } => self.nodes[at].is_frozen = true,
-            Op::Thaw { at } => self.nodes[at].is_frozen = false,
+            Op::Freeze { instance } => self.nodes[instance].is_frozen = true,
+            Op::Thaw { instance } => self.nodes[instance].is_frozen = false,
             Op::Run { ms } => self.run(ms),
-            Op::Restart { at } => {
-                self.nodes[at] = self.new_node(at);
-                self.stand(at);
+            Op::Restart { instance } => {
+                self.nodes[instance] = self.new_node(instance);
+                self.become_candidate(instance);
             }
-            Op::Leave { at } => self.event(at, Event::Leave),
+            Op::Leave { instance } => self.event(instance, Event::Leave),
         }
         self.check();
     }
 
-    /// Lets time pass in which nothing is answered.
+    /// Advances time without any responses.
     pub fn pass(&mut self, ms: u64) {
         let end_ms = self.now_ms + ms;
         while self.now_ms < end_ms {
@@ -185,100 +215,111 @@
         }
     }
 
-    /// Lets time pass in which the log works.
+    /// Advances time with a working log.
     pub fn run(&mut self, ms: u64) {
         let end_ms = self.now_ms + ms;
         while self.now_ms < end_ms {
             self.now_ms += STEP_MS;
-            for at in 0..INSTANCES {
-                self.append(at, AppendOutcome::Appended);
-                self.read(at, usize::MAX);
-                self.event(at, Event::Tick);
+            for instance in 0..INSTANCES {
+                self.append(instance, AppendOutcome::Appended);
+                self.read(instance, usize::MAX);
+                self.event(instance, Event::Tick);
             }
             self.check();
         }
     }
 
-    pub fn append(&mut self, at: usize, fate: AppendOutcome) {
-        if self.nodes[at].is_frozen {
+    pub fn append(&mut self, instance: usize, fate: AppendOutcome) {
+        if self.nodes[instance].is_frozen {
             return;
         }
-        let Some(record) = self.nodes[at].append.take() else {
+        let Some(record) = self.nodes[instance].append.take() else {
             return;
         };
         match fate {
             AppendOutcome::Appended | AppendOutcome::AnswerLost => self.log.push(record),
             AppendOutcome::NeverArrived => {}
-            AppendOutcome::ArrivesLater => self.late.push(record),
+            AppendOutcome::ArrivesLater => self.delayed_appends.push(record),
             AppendOutcome::DoneTwice => {
                 self.log.push(record.clone());
                 self.log.push(record);
             }
         }
-        self.event(at, Event::AppendEnded);
+        self.event(instance, Event::AppendEnded);
     }
 
-    pub fn read(&mut self, at: usize, most: usize) {
-        if self.nodes[at].is_frozen {
+    pub fn read(&mut self, instance: usize, max_records: usize) {
+        if self.nodes[instance].is_frozen {
             return;
         }
-        let Some(from) = self.nodes[at].read.take() else {
+        let Some(from) = self.nodes[instance].read.take() else {
             return;
         };
         let next = Offset(self.log.len() as u64);
-        let records = (0u64..).zip(&self.log).skip(from.0 as usize).take(most);
+        let records = (0u64..)
+            .zip(&self.log)
+            .skip(from.0 as usize)
+            .take(max_records);
         let records = records.map(|(offset, record)| Received {
             offset: Offset(offset),
             record: Some(record.clone()),
         });
         let records = records.collect();
-        self.event(at, Event::Read { next, records });
+        self.event(instance, Event::Read { next, records });
     }
 
-    /// No two may order engines that ignore the number within one order's time,
-    /// and no two hold the same fencing number.
+    /// Checks that no two instances can give orders to engines that ignore
+    /// fencing numbers within the duration of one order, and that no two hold
+    /// the same fencing number.
     fn check(&mut self) {
         let now_ms = self.now_ms;
         let permits: Vec<_> = (0..INSTANCES)
-            .map(|at| self.nodes[at].placer.permit(self.local_ms(at)))
+            .map(|instance| self.nodes[instance].placer.permit(self.local_ms(instance)))
             .collect();
-        for (at, permit) in permits.iter().enumerate() {
+        for (instance, permit) in permits.iter().enumerate() {
             let Some(permit) = permit else { continue };
-            let written = self.log.get(permit.fence as usize);
-            let is_own = written.is_some_and(|record| {
+            let claim_record = self.log.get(permit.fence as usize);
+            let is_own = claim_record.is_some_and(|record| {
                 matches!(record, PlacerRecord::Claim { .. })
-                    && record.incarnation() == self.nodes[at].incarnation
+                    && record.incarnation() == self.nodes[instance].incarnation
             });
             if !is_own {
-                self.faults.push(format!("{at} orders by {permit:?}"));
+                self.faults
+                    .push(format!("{instance} holds {permit:?} without its claim"));
             }
-            if !permit.allows(self.local_ms(at), Fencing::Ignored) {
+            if !permit.allows(self.local_ms(instance), Fencing::Ignored) {
                 continue;
             }
-            for other in (0..INSTANCES).filter(|other| *other != at) {
+            for other in (0..INSTANCES).filter(|other| *other != instance) {
                 let busy_until_ms = self.nodes[other]
                     .last_allowed_ms
                     .map(|last_ms| last_ms + self.settings.order_timeout_ms);
                 if busy_until_ms.is_some_and(|until_ms| until_ms > now_ms) {
-                    self.faults
-                        .push(format!("{at} and {other} order at {now_ms}"));
+                    self.faults.push(format!(
+                        "{instance} and {other} can give orders at {now_ms} ms"
+                    ));
                 }
             }
-            self.nodes[at].last_allowed_ms = Some(now_ms);
+            self.nodes[instance].last_allowed_ms = Some(now_ms);
         }
     }
 
-    /// Ends every fault and lets the candidates settle.
-    pub fn calm(&mut self) {
-        self.log.append(&mut self.late);
-        for at in 0..INSTANCES {
-            self.nodes[at].is_frozen = false;
+    /// Ends all faults and lets the candidates settle.
+    pub fn settle(&mut self) {
+        self.log.append(&mut self.delayed_appends);
+        for instance in 0..INSTANCES {
+            self.nodes[instance].is_frozen = false;
         }
         self.run(4 * self.settings.silence_ms());
     }
 
     pub fn placers(&self) -> Vec<usize> {
-        let is_placer = |at: &usize| self.nodes[*at].placer.permit(self.local_ms(*at)).is_some();
+        let is_placer = |instance: &usize| {
+            self.nodes[*instance]
+                .placer
+                .permit(self.local_ms(*instance))
+                .is_some()
+        };
         (0..INSTANCES).filter(is_placer).collect()
     }
 }
