--- a/crates/server/src/calls.rs
+++ b/crates/server/src/calls.rs
@@ -1,4 +1,5 @@
-//! Carries one call to a backend server and reads the events of its answer.
+//! Client of the backend servers: sends calls and reads the events of their
+//! responses.
 
 mod answer;
 mod severed;
@@ -24,8 +25,8 @@
 };
 
 use self::{
-    answer::{AnswerReader, Ending, max_lines},
-    severed::Severed,
+    answer::{Ending, ResponseReader, max_lines},
+    severed::SeveredWatchers,
 };
 use crate::{
     connections::{ConnectionSettings, Connections, Exchange, SendError},
@@ -35,12 +36,12 @@
     settings::Backends,
 };
 
-/// Largest body of a refusal or report, in bytes.
-const MAX_SMALL_BODY_BYTES: usize = 64 * 1024;
-/// Largest body of cache events, in bytes.
+/// Maximum size of the body of a refusal or load report.
+const MAX_CONTROL_BODY_BYTES: usize = 64 * 1024;
+/// Maximum size of the body of a cache events response.
 const MAX_EVENTS_BODY_BYTES: usize = 1024 * 1024;
-/// Time for a read of the load to be answered before another connection is
-/// asked, and for the first one to answer after that one has.
+/// Time for a load request to be answered before it is repeated over another
+/// connection, and for the first connection to respond once that one has.
 const CANARY_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Client of the backend servers.
@@ -50,121 +51,121 @@
     settings: Backends,
     /// Connections that carry calls.
     connections: Arc<Connections>,
-    /// One connection to each backend server that carries reads of its load; if
-    /// it goes silent, so have the others.
+    /// One connection to each backend server for load requests. If it stops
+    /// responding, the other connections to that server have failed as well.
     canaries: Arc<Connections>,
-    severed: Severed,
+    severed: SeveredWatchers,
 }
 
-/// Where a call goes and until when it may be handed over.
+/// Target of a call, and the conditions under which it may be sent.
 #[derive(Clone, Debug)]
 pub(crate) struct Destination {
     /// Backend server.
     pub(crate) backend: BackendName,
     /// Its address.
     pub(crate) addr: SocketAddr,
-    /// Time after which the call must not be handed to a socket.
+    /// Time after which the call must not be written to a socket.
     pub(crate) not_after: Instant,
-    /// What the first byte has to pass, of a run that may not be run twice.
+    /// Gate in front of the first byte, for a run that must not happen twice.
     pub(crate) gate: Option<Arc<Gate>>,
 }
 
 impl BackendClient {
     /// Creates a client without connections.
     pub(crate) fn new(settings: Backends, log: Logger) -> Self {
-        let for_calls = ConnectionSettings {
+        let call_settings = ConnectionSettings {
             connect_timeout: Duration::from_millis(settings.connect_timeout_ms),
             max_idle: usize::try_from(settings.idle_connections).unwrap_or(usize::MAX),
             idle_timeout: Duration::from_millis(settings.idle_timeout_ms),
         };
-        let for_canaries = ConnectionSettings {
+        let canary_settings = ConnectionSettings {
             max_idle: 1,
-            ..for_calls
+            ..call_settings
         };
         Self {
             log,
             settings,
-            connections: Connections::new(for_calls),
-            canaries: Connections::new(for_canaries),
-            severed: Severed::default(),
+            connections: Connections::new(call_settings),
+            canaries: Connections::new(canary_settings),
+            severed: SeveredWatchers::default(),
         }
     }
 
-    /// Sends `call` and reports everything that becomes of it to `events`.
+    /// Sends `call` and reports its events to `events`.
     pub(crate) async fn run(
         &self,
-        to: Destination,
+        destination: Destination,
         call: Box<StageCall>,
         events: mpsc::Sender<Event>,
     ) {
-        let mut answer = AnswerReader {
+        let mut reader = ResponseReader {
             log: &self.log,
             silence: Duration::from_millis(self.settings.silence_ms),
             max_line_bytes: usize::try_from(self.settings.line_bytes).unwrap_or(usize::MAX),
             lines_left: max_lines(&call),
-            backend: &to.backend,
+            backend: &destination.backend,
             id: &call.id,
             events: &events,
-            severed: self.severed.watch(to.addr),
-            last_frame: None,
+            severed: self.severed.watch(destination.addr),
+            last_frame_at: None,
         };
-        let last = self.exchange(&to, &call, &mut answer).await;
-        if let Some(event) = last {
-            // Nobody waits for it when the request has ended.
+        let last_event = self.exchange(&destination, &call, &mut reader).await;
+        if let Some(event) = last_event {
+            // The receiver is dropped when the request has ended.
             let _ = events.send(event).await;
         }
     }
 
-    /// Asks a backend server to give up a call; it is told once, and closing
-    /// the connection tells it as well.
+    /// Sends one request to a backend server to cancel a call. The server also
+    /// notices that the connection of the call is closed.
     pub(crate) async fn cancel(&self, addr: SocketAddr, id: CallId) {
         let body = serde_json::to_vec(&Cancel { id }).unwrap_or_default();
         let request = request(Method::POST, addr, "/v1/cancel", Bytes::from(body));
         let sending = async {
             if let Ok(Exchange { response, lease }) = self.send(addr, request).await {
-                let body = Limited::new(response.into_body(), MAX_SMALL_BODY_BYTES);
+                let body = Limited::new(response.into_body(), MAX_CONTROL_BODY_BYTES);
                 if body.collect().await.is_ok() {
-                    lease.keep().await;
+                    lease.release().await;
                 }
             }
         };
-        let _ = time::timeout(self.small_timeout(), sending).await;
+        let _ = time::timeout(self.control_timeout(), sending).await;
     }
 
-    /// Reads the load of the backend server at `addr`, and finds out on the way
-    /// whether the connections to it have gone silent while new ones work.
+    /// Reads the load of the backend server at `addr`. Detects at the same time
+    /// whether existing connections to it no longer respond while new ones work.
     pub(crate) async fn load(&self, addr: SocketAddr) -> Option<LoadReport> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         self.canaries.take_over(addr, &self.connections);
-        let canary = self.ask_load(addr);
+        let canary = self.request_load(addr);
         tokio::pin!(canary);
         if let Ok(report) = time::timeout(CANARY_TIMEOUT, canary.as_mut()).await {
             return report;
         }
-        let fresh = time::timeout(CANARY_TIMEOUT, self.ask_load(addr));
+        let fresh = time::timeout(CANARY_TIMEOUT, self.request_load(addr));
         let report = tokio::select! {
             report = canary.as_mut() => return report,
             report = fresh => report.ok()??,
         };
-        // A server that is slow would have answered the first question first.
+        // A server that is merely slow would have answered the first request first.
         if time::timeout(CANARY_TIMEOUT, canary).await.is_err() {
             warn!(self.log, "connections have gone silent"; "backend" => %report.server);
             metrics::counter!("savoryvane_severed_total").increment(1);
-            self.connections.forget(addr);
-            self.severed.tell(addr, began);
+            self.connections.close_idle(addr);
+            self.severed.notify(addr, started_at);
         }
         Some(report)
     }
 
-    async fn ask_load(&self, addr: SocketAddr) -> Option<LoadReport> {
+    async fn request_load(&self, addr: SocketAddr) -> Option<LoadReport> {
         let request = request(Method::GET, addr, "/v1/load", Bytes::new());
-        let not_after = Instant::now() + self.small_timeout();
+        let not_after = Instant::now() + self.control_timeout();
         let exchange = self.canaries.send(addr, request, not_after).await.ok()?;
-        read_json(exchange, MAX_SMALL_BODY_BYTES).await
+        read_json(exchange, MAX_CONTROL_BODY_BYTES).await
     }
 
-    /// Tries whether the backend server at `addr` still listens; where it does not, one of
-    /// its neighbours should.
+    /// Probes whether the backend server at `addr` still listens and, if it does not,
+    /// whether one of its neighbours does.
     pub(crate) async fn probe(
         &self,
         addr: SocketAddr,
@@ -173,23 +174,23 @@
         probing::probe(&self.connections, addr, neighbours).await
     }
 
-    /// Reads the cache events of the engine at `addr` from a sequence number on.
+    /// Reads the cache events of the engine at `addr`, starting at sequence number `from`.
     pub(crate) async fn cache_events(&self, addr: SocketAddr, from: u64) -> Option<CacheEvents> {
         let path = format!("/v1/cache-events?from={from}");
         let request = request(Method::GET, addr, &path, Bytes::new());
-        let asking = async {
+        let fetch = async {
             let exchange = self.send(addr, request).await.ok()?;
             read_json(exchange, MAX_EVENTS_BODY_BYTES).await
         };
-        time::timeout(self.small_timeout(), asking).await.ok()?
+        time::timeout(self.control_timeout(), fetch).await.ok()?
     }
 
-    /// Forgets idle connections to a server that went silent on one.
-    pub(crate) fn forget(&self, addr: SocketAddr) {
-        self.connections.forget(addr);
+    /// Closes all idle connections to a server that stopped responding on one.
+    pub(crate) fn close_idle(&self, addr: SocketAddr) {
+        self.connections.close_idle(addr);
     }
 
-    /// Closes connections that have been idle for long.
+    /// Closes connections that have been idle for longer than the idle timeout.
     pub(crate) fn prune(&self) {
         self.connections.prune();
         self.canaries.prune();
@@ -200,40 +201,43 @@
         addr: SocketAddr,
         request: Request<Full<Bytes>>,
     ) -> Result<Exchange, SendError> {
-        let not_after = Instant::now() + self.small_timeout();
+        let not_after = Instant::now() + self.control_timeout();
         self.connections.send(addr, request, not_after).await
     }
 
-    fn small_timeout(&self) -> Duration {
+    fn control_timeout(&self) -> Duration {
         Duration::from_millis(self.settings.connect_timeout_ms + self.settings.silence_ms)
     }
 
-    /// Returns the last event of the call, unless the answer had it.
+    /// Returns the last event of the call, unless the response contained it.
     async fn exchange(
         &self,
-        to: &Destination,
+        destination: &Destination,
         call: &StageCall,
-        answer: &mut AnswerReader<'_>,
+        reader: &mut ResponseReader<'_>,
     ) -> Option<Event> {
         let attempt = call.id.attempt;
         let body = match serde_json::to_vec(call) {
-            Ok(body) if Instant::now() < to.not_after => body,
+            Ok(body) if Instant::now() < destination.not_after => body,
             Ok(_) | Err(_) => return Some(Event::NotSent { attempt }),
         };
-        let request = request(Method::POST, to.addr, "/v1/run", Bytes::from(body));
-        let sending = self
-            .connections
-            .send_gated(to.addr, request, to.not_after, to.gate.as_ref());
-        let exchange = match answer.watch(sending).await {
+        let request = request(Method::POST, destination.addr, "/v1/run", Bytes::from(body));
+        let sending = self.connections.send_gated(
+            destination.addr,
+            request,
+            destination.not_after,
+            destination.gate.as_ref(),
+        );
+        let exchange = match reader.watch(sending).await {
             Ok(exchange) => exchange,
             Err(SendError::NotSent(reason)) => {
                 warn!(self.log, "call not sent"; "request" => %call.id.request,
                     "stage" => %call.id.stage, "attempt" => attempt,
-                    "backend" => %to.backend, "error" => reason);
+                    "backend" => %destination.backend, "error" => reason);
                 return Some(Event::NotSent { attempt });
             }
             Err(SendError::Sent(reason)) => {
-                answer.note_lost(&reason);
+                reader.log_lost(&reason);
                 return Some(Event::Lost { attempt });
             }
         };
@@ -241,29 +245,29 @@
         let status = response.status();
         if status != StatusCode::OK {
             let event = refusal(attempt, response.into_body()).await;
-            if let (Event::Refused { .. }, Some(gate)) = (&event, &to.gate) {
+            if let (Event::Refused { .. }, Some(gate)) = (&event, &destination.gate) {
                 gate.on_refused();
             }
             return Some(event);
         }
-        match answer.read(response.into_body()).await {
-            Ending::Whole => {
-                lease.keep().await;
+        match reader.read(response.into_body()).await {
+            Ending::Complete => {
+                lease.release().await;
                 None
             }
-            Ending::Untidy => None,
+            Ending::NotReusable => None,
             Ending::Lost(reason) => {
-                answer.note_lost(&reason);
+                reader.log_lost(&reason);
                 Some(Event::Lost { attempt })
             }
         }
     }
 }
 
-/// A refusal counts as one only when it says so itself: what stands between
-/// may answer with the same status after the call has run.
+/// Reads a refusal from the body of a response. A status alone is not a refusal:
+/// an intermediary may return the same status after the call has run.
 async fn refusal(attempt: u64, body: Incoming) -> Event {
-    let body = Limited::new(body, MAX_SMALL_BODY_BYTES).collect().await;
+    let body = Limited::new(body, MAX_CONTROL_BODY_BYTES).collect().await;
     let refusal = body
         .ok()
         .and_then(|body| serde_json::from_slice::<Refusal>(&body.to_bytes()).ok());
@@ -277,7 +281,7 @@
     }
 }
 
-/// Reads a whole answer in JSON and gives its connection back.
+/// Reads a complete JSON response and returns its connection to the pool.
 async fn read_json<T: DeserializeOwned>(exchange: Exchange, max_bytes: usize) -> Option<T> {
     let Exchange { response, lease } = exchange;
     if response.status() != StatusCode::OK {
@@ -285,6 +289,6 @@
     }
     let body = Limited::new(response.into_body(), max_bytes);
     let body = body.collect().await.ok()?.to_bytes();
-    lease.keep().await;
+    lease.release().await;
     serde_json::from_slice(&body).ok()
 }
--- a/crates/server/src/calls/answer.rs
+++ b/crates/server/src/calls/answer.rs
@@ -1,4 +1,4 @@
-//! Reads the events of one call's answer, a JSON value a line.
+//! Reads the events of the response to a call, one JSON value per line.
 
 use std::time::Duration;
 
@@ -16,49 +16,49 @@
     time::{self, Instant},
 };
 
-/// Lines of an answer besides those with tokens.
-const SPARE_LINES: u32 = 16;
-/// Lines of an answer to a call that names no most tokens.
+/// Number of lines allowed in a response besides those with tokens.
+const EXTRA_LINES: u32 = 16;
+/// Maximum number of lines in the response to a call without a token limit.
 const DEFAULT_MAX_LINES: u32 = 100_000;
-/// Time for an answer to end after its last event, for its connection to be
-/// used again.
+/// Time for a response to end after its last event; otherwise its connection is
+/// not reused.
 const END_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How an answer ended.
+/// How a response ended.
 pub(super) enum Ending {
     /// With its last event and nothing after it.
-    Whole,
-    /// With its last event, but its connection is of no further use.
-    Untidy,
+    Complete,
+    /// With its last event, but its connection can't be reused.
+    NotReusable,
     /// Without its last event.
     Lost(String),
 }
 
-/// Reads the events of one answer and watches that they keep coming.
-pub(super) struct AnswerReader<'a> {
-    /// Where an answer that is lost is noted.
+/// Reads the events of one response and reports when no data arrives.
+pub(super) struct ResponseReader<'a> {
+    /// Logger for lost responses.
     pub(super) log: &'a Logger,
-    /// Time without bytes after which the answer is reported as silent.
+    /// Time without data after which the response is reported as silent.
     pub(super) silence: Duration,
-    /// Longest line, in bytes.
+    /// Maximum length of a line, in bytes.
     pub(super) max_line_bytes: usize,
-    /// Lines that the answer may still have.
+    /// Number of lines that the response may still contain.
     pub(super) lines_left: u32,
-    /// Backend server that answers.
+    /// Backend server that responds.
     pub(super) backend: &'a BackendName,
-    /// Call that is answered.
+    /// Call that the response belongs to.
     pub(super) id: &'a CallId,
-    /// Takes the events of the answer.
+    /// Receives the events of the response.
     pub(super) events: &'a mpsc::Sender<Event>,
-    /// When it was last found out that connections to the server were silent.
+    /// Time from which connections to the server were last found unresponsive.
     pub(super) severed: watch::Receiver<Option<Instant>>,
-    /// When the last bytes came.
-    pub(super) last_frame: Option<Instant>,
+    /// When the last data arrived.
+    pub(super) last_frame_at: Option<Instant>,
 }
 
-impl AnswerReader<'_> {
-    /// Waits for `progress`, and reports each time that it does not come for
-    /// long and once when it is known that it will not come.
+impl ResponseReader<'_> {
+    /// Waits for `progress`. Reports `Silent` after each silence period without it,
+    /// and `Severed` once when the connection is known to be dead.
     pub(super) async fn watch<T>(&mut self, progress: impl Future<Output = T>) -> T {
         tokio::pin!(progress);
         let mut silence = time::interval_at(Instant::now() + self.silence, self.silence);
@@ -68,7 +68,7 @@
             tokio::select! {
                 biased;
                 value = progress.as_mut() => {
-                    self.last_frame = Some(Instant::now());
+                    self.last_frame_at = Some(Instant::now());
                     return value;
                 }
                 Ok(()) = self.severed.changed(), if !is_severed => {
@@ -85,14 +85,14 @@
         }
     }
 
-    /// Tells whether nothing has come since the server's connections were first
-    /// found silent.
+    /// Returns whether no data has arrived since the time from which connections
+    /// to the server were found unresponsive.
     fn is_severed(&mut self) -> bool {
         let severed_at = *self.severed.borrow_and_update();
-        severed_at.is_some_and(|at| self.last_frame.is_none_or(|last| last < at))
+        severed_at.is_some_and(|at| self.last_frame_at.is_none_or(|last| last < at))
     }
 
-    /// Reads the answer to its end and reports its events.
+    /// Reads the response to its end and reports its events.
     pub(super) async fn read(&mut self, mut body: Incoming) -> Ending {
         let mut buffer = BytesMut::new();
         loop {
@@ -108,75 +108,75 @@
             while let Some(end) = buffer.iter().position(|byte| *byte == b'\n') {
                 let line = buffer.split_to(end);
                 buffer.advance(1);
-                match self.take_line(&line).await {
+                match self.process_line(&line).await {
                     Line::More => {}
-                    Line::Last if buffer.is_empty() => return tidy_end(body).await,
-                    Line::Last => return Ending::Untidy,
-                    Line::Bad(reason) => return Ending::Lost(reason),
+                    Line::Last if buffer.is_empty() => return check_end(body).await,
+                    Line::Last => return Ending::NotReusable,
+                    Line::Invalid(reason) => return Ending::Lost(reason),
                 }
             }
             if buffer.len() > self.max_line_bytes {
-                return Ending::Lost(self.bad("oversized", "line is too long"));
+                return Ending::Lost(self.count_invalid("oversized", "line is too long"));
             }
         }
     }
 
-    async fn take_line(&mut self, line: &[u8]) -> Line {
+    async fn process_line(&mut self, line: &[u8]) -> Line {
         if line.len() > self.max_line_bytes {
-            return Line::Bad(self.bad("oversized", "line is too long"));
+            return Line::Invalid(self.count_invalid("oversized", "line is too long"));
         }
         if self.lines_left == 0 {
-            return Line::Bad(self.bad("oversized", "answer has too many lines"));
+            return Line::Invalid(self.count_invalid("oversized", "answer has too many lines"));
         }
         self.lines_left -= 1;
         let Ok(event) = serde_json::from_slice::<StageEvent>(line) else {
-            return Line::Bad(self.bad("malformed", "line is not an event"));
+            return Line::Invalid(self.count_invalid("malformed", "line is not an event"));
         };
         if event.id() != self.id {
-            return Line::Bad(self.bad("foreign", "event of another call"));
+            return Line::Invalid(self.count_invalid("foreign", "event of another call"));
         }
         let is_last = !matches!(event, StageEvent::Token { .. });
-        // A call that may not be repeated is read to its end even when its
-        // request has ended and nobody listens.
+        // The response to a non-idempotent call is read to its end even if its
+        // request has ended and the receiver is dropped.
         let _ = self.events.send(Event::Answered(event)).await;
         if is_last { Line::Last } else { Line::More }
     }
 
-    /// Counts and logs an answer that is not used any further.
-    fn bad(&self, kind: &'static str, reason: &str) -> String {
+    /// Counts an invalid response and returns `reason`.
+    fn count_invalid(&self, kind: &'static str, reason: &str) -> String {
         metrics::counter!("savoryvane_bad_answers_total", "kind" => kind).increment(1);
         reason.to_owned()
     }
 
-    /// Logs that the answer was lost.
-    pub(super) fn note_lost(&self, reason: &str) {
+    /// Logs that the response was lost.
+    pub(super) fn log_lost(&self, reason: &str) {
         warn!(self.log, "answer lost, connection closed"; "request" => %self.id.request,
             "stage" => %self.id.stage, "attempt" => self.id.attempt,
             "backend" => %self.backend, "error" => reason);
     }
 }
 
-/// What one line was.
+/// Result of processing one line.
 enum Line {
-    /// An event that is not the last.
+    /// An event that is not the last one.
     More,
     /// The last event.
     Last,
-    /// Nothing that can be used.
-    Bad(String),
+    /// A line that is not a valid event of the call.
+    Invalid(String),
 }
 
-async fn tidy_end(mut body: Incoming) -> Ending {
+async fn check_end(mut body: Incoming) -> Ending {
     match time::timeout(END_TIMEOUT, body.frame()).await {
-        Ok(None) => Ending::Whole,
-        Ok(Some(_)) | Err(_) => Ending::Untidy,
+        Ok(None) => Ending::Complete,
+        Ok(Some(_)) | Err(_) => Ending::NotReusable,
     }
 }
 
-/// Returns how many lines the answer to `call` may have.
+/// Returns the maximum number of lines in the response to `call`.
 pub(super) fn max_lines(call: &StageCall) -> u32 {
     match call.max_tokens {
         0 => DEFAULT_MAX_LINES,
-        max_tokens => max_tokens.saturating_add(SPARE_LINES),
+        max_tokens => max_tokens.saturating_add(EXTRA_LINES),
     }
 }
--- a/crates/server/src/calls/severed.rs
+++ b/crates/server/src/calls/severed.rs
@@ -1,4 +1,4 @@
-//! Tells calls when the connections to a backend server have gone silent.
+//! Notifies calls when existing connections to their backend server stop responding.
 
 use std::{
     collections::HashMap,
@@ -10,22 +10,22 @@
 
 use crate::lock::lock;
 
-/// Tells calls in flight when connections to their backend server are found to
-/// have gone silent.
+/// Notifies calls in flight when connections to their backend server are found to
+/// be severed: existing ones no longer respond while new ones work.
 #[derive(Debug, Default)]
-pub(super) struct Severed(Mutex<HashMap<SocketAddr, watch::Sender<Option<Instant>>>>);
+pub(super) struct SeveredWatchers(Mutex<HashMap<SocketAddr, watch::Sender<Option<Instant>>>>);
 
-impl Severed {
-    /// Watches for the times from which on connections to `addr` were silent.
+impl SeveredWatchers {
+    /// Subscribes to the times from which connections to `addr` were unresponsive.
     pub(super) fn watch(&self, addr: SocketAddr) -> watch::Receiver<Option<Instant>> {
-        let mut watched = self.lock();
-        watched.retain(|_, sender| sender.receiver_count() > 0);
-        let sender = watched.entry(addr).or_default();
+        let mut watchers = self.lock();
+        watchers.retain(|_, sender| sender.receiver_count() > 0);
+        let sender = watchers.entry(addr).or_default();
         sender.subscribe()
     }
 
-    /// Tells the calls to `addr` that its connections were silent at `at`.
-    pub(super) fn tell(&self, addr: SocketAddr, at: Instant) {
+    /// Notifies the calls to `addr` that its connections were unresponsive at `at`.
+    pub(super) fn notify(&self, addr: SocketAddr, at: Instant) {
         if let Some(sender) = self.lock().get(&addr) {
             sender.send_replace(Some(at));
         }
--- a/crates/server/src/claims.rs
+++ b/crates/server/src/claims.rs
@@ -1,5 +1,5 @@
-//! The claim stream of the platform's log: reading it back, appending to it,
-//! and telling each attempt what was decided.
+//! Reads and appends the claim stream of the platform's log, and delivers the
+//! decisions of the claimant to the attempts that wait for them.
 
 use std::{
     collections::HashMap,
@@ -32,23 +32,23 @@
 
 use crate::{instance::Shared, lock::lock, platform::PlatformError, settings::Settings};
 
-/// Time between two attempts while the log does not answer, in ms.
+/// Time between retries while the log is unavailable.
 const RETRY_MS: u64 = 100;
-/// Reads after which a record that is not delivered counts as missing.
-const GAP_READS: u32 = 20;
-/// Most keys that are remembered.
+/// Consecutive reads with a gap after which the missing records are skipped.
+const MAX_GAP_READS: u32 = 20;
+/// Maximum number of keys in the claim index.
 const MAX_KEYS: usize = 2_000_000;
-/// Most bytes of recorded answers that are remembered.
+/// Maximum total size of recorded answers in the claim index.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
-/// Most bytes of one batch.
+/// Maximum size of one batch.
 const MAX_BATCH_BYTES: usize = 60_000;
-/// Most entries that wait to be appended.
-const MAX_WAITING: usize = 4_096;
-/// Most claims remembered that were given up.
+/// Maximum number of entries that wait to be appended.
+const MAX_PENDING_ENTRIES: usize = 4_096;
+/// Maximum number of abandoned claims that are tracked.
 const MAX_ABANDONED: usize = 65_536;
-/// Shows that there are this many records without entries in a window.
-const MARKS_PER_WINDOW: u64 = 4;
-/// Longest wait for the last entries to be appended when the instance stops.
+/// Heartbeat records that an idle instance appends in one claim window.
+const HEARTBEATS_PER_WINDOW: u64 = 4;
+/// Maximum wait for pending entries to be appended on shutdown.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Debug)]
@@ -58,26 +58,26 @@
 }
 
 impl State {
-    fn tell(&mut self, steps: Vec<AttemptDecision>) {
-        for AttemptDecision { attempt, decision } in steps {
+    fn dispatch(&mut self, decisions: Vec<AttemptDecision>) {
+        for AttemptDecision { attempt, decision } in decisions {
             if let Some(sender) = self.attempts.get(&attempt) {
-                // Nobody listens when the request has ended.
+                // The receiver is dropped when the request has ended.
                 let _ = sender.send(decision);
             }
         }
     }
 }
 
-/// An attempt that has begun, and what is decided about it as it is.
+/// A started attempt with the stream of its decisions.
 #[derive(Debug)]
-pub(crate) struct Claiming {
+pub(crate) struct PendingClaim {
     /// The attempt.
     pub(crate) attempt: Attempt,
-    /// Decisions; the first one may be there already.
+    /// Decisions about the attempt; the first one may already be queued.
     pub(crate) decisions: mpsc::UnboundedReceiver<Decision>,
 }
 
-/// The claims of this instance.
+/// Claimant of this instance with the subscribers of its decisions.
 #[derive(Debug)]
 pub(crate) struct Claims {
     state: Mutex<State>,
@@ -86,10 +86,10 @@
 }
 
 impl Claims {
-    /// Creates the claims of one run of an instance.
+    /// Creates the claims of one incarnation of an instance.
     pub(crate) fn new(settings: &Settings, incarnation: Incarnation, log: Logger) -> Self {
         let window_ms = settings.claims.window_ms;
-        let mark_ms = (window_ms / MARKS_PER_WINDOW).max(1);
+        let heartbeat_ms = (window_ms / HEARTBEATS_PER_WINDOW).max(1);
         let limits = ClaimLimits {
             index: IndexLimits {
                 window_ms,
@@ -98,11 +98,11 @@
             },
             batch: BatchLimits {
                 interval_ms: interval_ms(1, settings.claims.appends_per_s),
-                // Not all instances at the same moment.
-                heartbeat_interval_ms: random_range(mark_ms / 2..=mark_ms),
+                // Jitter keeps instances from appending at the same time.
+                heartbeat_interval_ms: random_range(heartbeat_ms / 2..=heartbeat_ms),
                 max_entries: claims::MAX_ENTRIES,
                 max_bytes: MAX_BATCH_BYTES,
-                max_pending: MAX_WAITING,
+                max_pending: MAX_PENDING_ENTRIES,
             },
             max_abandoned: MAX_ABANDONED,
         };
@@ -117,24 +117,24 @@
         }
     }
 
-    /// Begins an attempt.
-    pub(crate) fn begin(&self, now_ms: u64, ask: ClaimRequest) -> Claiming {
+    /// Starts an attempt and subscribes to its decisions.
+    pub(crate) fn begin(&self, now_ms: u64, request: ClaimRequest) -> PendingClaim {
         let (sender, receiver) = mpsc::unbounded_channel();
         let mut state = self.lock();
-        let StartedAttempt { attempt, decision } = state.claimant.begin(now_ms, ask);
+        let StartedAttempt { attempt, decision } = state.claimant.begin(now_ms, request);
         if let Some(decision) = decision {
             let _ = sender.send(decision);
         }
         state.attempts.insert(attempt, sender);
         drop(state);
         self.changed.notify_one();
-        Claiming {
+        PendingClaim {
             attempt,
             decisions: receiver,
         }
     }
 
-    /// Asks whether a call may be handed to a socket now.
+    /// Requests permission to write a call to a socket now.
     pub(crate) fn permit(
         &self,
         now_ms: u64,
@@ -145,12 +145,12 @@
         self.lock().claimant.permit(now_ms, attempt, stage, kind)
     }
 
-    /// Takes back the last permit.
+    /// Retracts the last permit.
     pub(crate) fn retract(&self, attempt: Attempt, cause: Retraction) {
         self.lock().claimant.retract(attempt, cause);
     }
 
-    /// Ends a run and returns the outcome to tell.
+    /// Ends a run and returns the outcome to report.
     pub(crate) fn finish(
         &self,
         now_ms: u64,
@@ -163,7 +163,7 @@
         })
     }
 
-    /// Ends an attempt that has no answer.
+    /// Ends an attempt without an answer.
     pub(crate) fn give_up(
         &self,
         now_ms: u64,
@@ -175,22 +175,22 @@
         })
     }
 
-    /// Ends an attempt whose first run can't be asked.
-    pub(crate) fn holder_gone(&self, now_ms: u64, attempt: Attempt) -> Option<Decision> {
+    /// Ends an attempt that joined a run whose instance is unreachable.
+    pub(crate) fn on_holder_unreachable(&self, now_ms: u64, attempt: Attempt) -> Option<Decision> {
         self.lock().claimant.on_holder_unreachable(now_ms, attempt)
     }
 
-    /// Ends an attempt when the log says how the first run ended.
+    /// Ends an attempt if the log has the result of the first run.
     pub(crate) fn recorded(&self, attempt: Attempt) -> Option<Decision> {
         self.lock().claimant.recorded(attempt)
     }
 
-    /// Stops telling what is decided about an attempt that has ended.
-    pub(crate) fn forget(&self, attempt: Attempt) {
+    /// Unsubscribes from the decisions of an ended attempt.
+    pub(crate) fn unsubscribe(&self, attempt: Attempt) {
         self.lock().attempts.remove(&attempt);
     }
 
-    /// Returns the offset that is read next.
+    /// Returns the next offset to read.
     pub(crate) fn next(&self) -> Offset {
         self.lock().claimant.index().next()
     }
@@ -204,12 +204,12 @@
         ended
     }
 
-    fn take(&self, now_ms: u64, record: &LogRecord) {
+    fn apply(&self, now_ms: u64, record: &LogRecord) {
         let batch = match claims::decode_record(record) {
             Ok(batch) => Some(batch),
             Err(err) => {
                 metrics::counter!("savoryvane_claim_records_bad_total").increment(1);
-                warn!(self.log, "claim record not understood";
+                warn!(self.log, "claim record could not be decoded";
                     "offset" => record.offset.0, "error" => %err);
                 None
             }
@@ -220,8 +220,8 @@
             batch: batch.as_ref(),
         };
         let mut state = self.lock();
-        let steps = state.claimant.on_record(now_ms, &record);
-        state.tell(steps);
+        let decisions = state.claimant.on_record(now_ms, &record);
+        state.dispatch(decisions);
         metrics::gauge!("savoryvane_claim_keys").set(state.claimant.index().len() as f64);
         drop(state);
         self.changed.notify_one();
@@ -232,14 +232,14 @@
     }
 }
 
-/// Reads the claim stream for as long as the instance lives.
+/// Reads the claim stream until the instance stops.
 pub(crate) async fn read(shared: Arc<Shared>) {
     let mut cursor = Offset::default();
     let mut gap_reads = 0;
     loop {
         let wait_ms = shared.platform.wait_ms();
         match shared.platform.read(CLAIM_STREAM, cursor, wait_ms).await {
-            Ok(records) if records.has_gap(cursor) && gap_reads < GAP_READS => {
+            Ok(records) if records.has_gap(cursor) && gap_reads < MAX_GAP_READS => {
                 gap_reads += 1;
                 time::sleep(Duration::from_millis(RETRY_MS)).await;
             }
@@ -247,17 +247,17 @@
                 gap_reads = 0;
                 let now_ms = shared.clock.now_ms();
                 for record in &records.records {
-                    shared.claims.take(now_ms, record);
+                    shared.claims.apply(now_ms, record);
                     cursor = cursor.max(record.offset.next());
                 }
             }
             Err(PlatformError::Trimmed(first)) => {
-                warn!(shared.log, "claim records are no longer kept";
+                warn!(shared.log, "claim records have been trimmed";
                     "expected" => cursor.0, "first" => first.0);
                 cursor = first.max(cursor.next());
             }
             Err(err) => {
-                debug!(shared.log, "claim stream not read"; "error" => %err);
+                debug!(shared.log, "failed to read the claim stream"; "error" => %err);
                 let jittered_ms = random_range(RETRY_MS / 2..=RETRY_MS);
                 time::sleep(Duration::from_millis(jittered_ms)).await;
             }
@@ -265,7 +265,7 @@
     }
 }
 
-/// Appends claims for as long as the instance lives.
+/// Appends claims until the instance stops.
 pub(crate) async fn append(shared: Arc<Shared>) {
     loop {
         wait_due(&shared).await;
@@ -273,8 +273,8 @@
         let payload = {
             let mut state = shared.claims.lock();
             let now_ms = shared.clock.now_ms();
-            let steps = state.claimant.on_tick(now_ms);
-            state.tell(steps);
+            let decisions = state.claimant.on_tick(now_ms);
+            state.dispatch(decisions);
             let per_s = shared.settings.claims.appends_per_s;
             let interval_ms = interval_ms(appenders as u64, per_s);
             state.claimant.set_interval_ms(interval_ms);
@@ -305,7 +305,7 @@
     let payload = match payload {
         Ok(payload) => Bytes::from(payload),
         Err(err) => {
-            // A batch within the limits of the batcher can be encoded.
+            // Every batch within the limits of the batcher can be encoded.
             debug_assert!(false, "{err}");
             return AppendResult::Appended;
         }
@@ -317,13 +317,13 @@
         Ok(_) => AppendResult::Appended,
         Err(err) => {
             metrics::counter!("savoryvane_claim_append_errors_total").increment(1);
-            debug!(shared.log, "claims not appended"; "error" => %err);
+            debug!(shared.log, "append of claims not confirmed"; "error" => %err);
             AppendResult::NotConfirmed
         }
     }
 }
 
-/// Waits until what has ended is on the log, for a short while.
+/// Waits up to [`FLUSH_TIMEOUT`] for all pending entries to be appended.
 pub(crate) async fn flush(shared: &Shared) {
     let flushed = async {
         while !shared.claims.lock().claimant.batcher().is_idle() {
@@ -331,6 +331,6 @@
         }
     };
     if time::timeout(FLUSH_TIMEOUT, flushed).await.is_err() {
-        warn!(shared.log, "claims left unappended");
+        warn!(shared.log, "timed out flushing claims");
     }
 }
--- a/crates/server/src/connections.rs
+++ b/crates/server/src/connections.rs
@@ -1,8 +1,8 @@
-//! A small pool of HTTP/1.1 connections to backend servers and the platform.
+//! Pool of HTTP/1.1 connections to backend servers and the platform.
 //!
-//! A connection goes back to the pool only after a whole answer. One whose
-//! exchange was given up is closed: it may have gone silent, and what would
-//! still come over it has no receiver.
+//! A connection is returned to the pool only after a complete response. The
+//! connection of an abandoned exchange is closed: it may no longer respond, and
+//! the rest of its response has no receiver.
 
 use std::{
     collections::HashMap,
@@ -33,46 +33,46 @@
     lock::lock,
 };
 
-/// Largest head of an answer that is read, in bytes.
+/// Maximum size of the head of a response.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
 quick_error! {
-    /// Why an exchange has no answer.
+    /// Why an exchange has no response.
     #[derive(Debug)]
     pub enum SendError {
-        /// No byte of the request was handed to a socket.
+        /// No byte of the request was written to a socket.
         NotSent(reason: String) {
             display("not sent: {reason}")
         }
-        /// The request was handed over; what became of it is not known.
+        /// The request was sent, and its result is unknown.
         Sent(reason: String) {
             display("sent, then: {reason}")
         }
     }
 }
 
-/// How connections are made and kept.
+/// Settings of a connection pool.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectionSettings {
-    /// Time for a connection to be made.
+    /// Maximum time to establish a connection.
     pub(crate) connect_timeout: Duration,
-    /// Idle connections that are kept to one address.
+    /// Maximum number of idle connections to one address.
     pub(crate) max_idle: usize,
     /// Time after which an idle connection is closed.
     pub(crate) idle_timeout: Duration,
 }
 
-/// Which kept connections a request may be sent over.
+/// Which idle connections a request may reuse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reuse {
-    /// Any that is open.
+    /// Any open connection.
     Any,
-    /// One that was used this short a time ago: a request that can't be repeated
-    /// is lost with a connection that its server closes at this moment.
+    /// A connection used within this time. A request that can't be repeated is
+    /// lost if the server closes an older idle connection at the same moment.
     Within(Duration),
 }
 
-/// Connections to any number of addresses.
+/// Connection pool for any number of addresses.
 #[derive(Debug)]
 pub(crate) struct Connections {
     settings: ConnectionSettings,
@@ -82,11 +82,11 @@
 #[derive(Debug)]
 struct Idle {
     connection: Connection,
-    since: Instant,
-    until: Instant,
+    last_used_at: Instant,
+    expires_at: Instant,
 }
 
-/// One connection; closed when dropped.
+/// A connection that is closed when dropped.
 #[derive(Debug)]
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -100,16 +100,16 @@
     }
 }
 
-/// An answer whose body is still to be read.
+/// A response whose body is still to be read.
 #[derive(Debug)]
 pub(crate) struct Exchange {
-    /// The answer.
+    /// The response.
     pub(crate) response: Response<Incoming>,
-    /// Connection that it comes over.
+    /// Connection that carries the response.
     pub(crate) lease: Lease,
 }
 
-/// Holds a connection while an answer comes over it; closes it when dropped.
+/// Holds a connection while a response is read; closes it when dropped.
 #[derive(Debug)]
 pub(crate) struct Lease {
     pool: Arc<Connections>,
@@ -118,14 +118,14 @@
 }
 
 impl Lease {
-    /// Gives the connection back for reuse, after the whole answer was read.
-    pub(crate) async fn keep(self) {
-        self.keep_for(Duration::MAX).await;
+    /// Returns the connection to the pool after the complete response was read.
+    pub(crate) async fn release(self) {
+        self.release_for(Duration::MAX).await;
     }
 
-    /// Gives the connection back like [`keep`](Self::keep), to be reused only
-    /// within `limit`, after which the other end closes it.
-    pub(crate) async fn keep_for(self, limit: Duration) {
+    /// Returns the connection to the pool like [`release`](Self::release), to be reused
+    /// only within `limit`, after which the server closes it.
+    pub(crate) async fn release_for(self, limit: Duration) {
         let Self {
             pool,
             addr,
@@ -146,13 +146,13 @@
         })
     }
 
-    /// Sends `request` to `addr`, unless `not_after` has passed before it can be
-    /// handed over, and waits for the head of its answer.
+    /// Sends `request` to `addr` and waits for the head of its response. Sends
+    /// nothing once `not_after` has passed.
     ///
     /// # Errors
     ///
-    /// Returns [`SendError::NotSent`] only when nothing of the request was
-    /// handed to a socket.
+    /// Returns [`SendError::NotSent`] only if no byte of the request was written
+    /// to a socket.
     pub(crate) async fn send(
         self: &Arc<Self>,
         addr: SocketAddr,
@@ -162,13 +162,14 @@
         self.send_gated(addr, request, not_after, None).await
     }
 
-    /// Sends `request` like [`send`](Self::send), over kept connections only as
-    /// `reuse` allows, if `may_send` says so once a connection is there.
+    /// Sends `request` like [`send`](Self::send), reusing idle connections only as
+    /// `reuse` allows. Before sending over a new connection, `may_send` must return
+    /// true.
     ///
     /// # Errors
     ///
-    /// Returns [`SendError::NotSent`] only when nothing of the request was
-    /// handed to a socket.
+    /// Returns [`SendError::NotSent`] only if no byte of the request was written
+    /// to a socket.
     pub(crate) async fn send_reusing(
         self: &Arc<Self>,
         addr: SocketAddr,
@@ -181,13 +182,13 @@
             .await
     }
 
-    /// Sends `request` like [`send`](Self::send) if `gate`, which is asked
-    /// directly before the first byte is written, lets it through.
+    /// Sends `request` like [`send`](Self::send) if `gate` opens, which is checked
+    /// directly before the first byte is written.
     ///
     /// # Errors
     ///
-    /// Returns [`SendError::NotSent`] only when nothing of the request was
-    /// handed to a socket; with a gate, only when it never opened.
+    /// Returns [`SendError::NotSent`] only if no byte of the request was written to
+    /// a socket; with a gate, only if the gate never opened.
     pub(crate) async fn send_gated(
         self: &Arc<Self>,
         addr: SocketAddr,
@@ -199,7 +200,7 @@
             .try_send(addr, request, not_after, gate, Reuse::Any, || true)
             .await;
         match (sent, gate) {
-            // Once shut, a write that is still on its way does not happen.
+            // Once the gate is shut, a pending write does not happen.
             (Err(SendError::Sent(reason)), Some(gate)) if !gate.shut() => {
                 Err(SendError::NotSent(reason))
             }
@@ -223,8 +224,8 @@
             connection.gates.set(gate.cloned());
             match self.send_over(addr, connection, request).await {
                 Ok(exchange) => return Ok(exchange),
-                Err(Attempt::Handed(err)) => return Err(err),
-                Err(Attempt::Unsent(unsent, _)) => request = *unsent,
+                Err(SendFailure::Sent(err)) => return Err(err),
+                Err(SendFailure::Unsent(unsent, _)) => request = *unsent,
             }
         }
         let connection = self.connect(addr).await?;
@@ -238,15 +239,15 @@
         connection.gates.set(gate.cloned());
         self.send_over(addr, connection, request)
             .await
-            .map_err(|attempt| match attempt {
-                Attempt::Handed(err) => err,
-                Attempt::Unsent(_, reason) => SendError::NotSent(reason),
+            .map_err(|failure| match failure {
+                SendFailure::Sent(err) => err,
+                SendFailure::Unsent(_, reason) => SendError::NotSent(reason),
             })
     }
 
-    /// Tries to connect to `addr`, and keeps the connection; tells whether one
-    /// could be made.
-    pub(crate) async fn warm(&self, addr: SocketAddr) -> bool {
+    /// Connects to `addr` and adds the connection to the pool. Returns whether the
+    /// connection was established.
+    pub(crate) async fn preconnect(&self, addr: SocketAddr) -> bool {
         match self.connect(addr).await {
             Ok(connection) => {
                 self.put(addr, connection, Duration::MAX);
@@ -256,13 +257,13 @@
         }
     }
 
-    /// Tells from one attempt to connect to `addr` whether anything listens there; a
-    /// connection that is made is kept.
+    /// Probes with one connection attempt whether a process listens at `addr`. Adds an
+    /// established connection to the pool.
     pub(crate) async fn probe(&self, addr: SocketAddr) -> Probe {
-        match self.stream(addr).await {
+        match self.connect_tcp(addr).await {
             Ok(stream) => {
-                // Whoever has accepted it may have closed it at once.
-                if let Ok(connection) = self.over(stream).await {
+                // The server may have accepted the connection and closed it at once.
+                if let Ok(connection) = self.handshake(stream).await {
                     self.put(addr, connection, Duration::MAX);
                 }
                 Probe::Open
@@ -272,8 +273,8 @@
         }
     }
 
-    /// Takes over an idle connection to `addr` of another pool, if there is none
-    /// here.
+    /// Takes an idle connection to `addr` from the pool `other`, if this pool has
+    /// none.
     pub(crate) fn take_over(&self, addr: SocketAddr, other: &Self) {
         let has_one = self.lock().contains_key(&addr);
         if !has_one && let Some(connection) = other.take(addr, Reuse::Any) {
@@ -281,8 +282,8 @@
         }
     }
 
-    /// Closes every idle connection to `addr`, after one to it went silent.
-    pub(crate) fn forget(&self, addr: SocketAddr) {
+    /// Closes every idle connection to `addr`, after one of them stopped responding.
+    pub(crate) fn close_idle(&self, addr: SocketAddr) {
         self.lock().remove(&addr);
     }
 
@@ -290,18 +291,18 @@
     pub(crate) fn prune(&self) {
         let now = Instant::now();
         self.lock().retain(|_, idle| {
-            idle.retain(|idle| now < idle.until && !idle.connection.sender.is_closed());
+            idle.retain(|idle| now < idle.expires_at && !idle.connection.sender.is_closed());
             !idle.is_empty()
         });
     }
 
-    /// Sends `request` and reads its whole answer of at most `max_bytes`, within
-    /// `timeout`.
+    /// Sends `request` and reads its complete response of at most `max_bytes`
+    /// within `timeout`.
     ///
     /// # Errors
     ///
-    /// Returns [`SendError::NotSent`] only when nothing of the request was
-    /// handed to a socket.
+    /// Returns [`SendError::NotSent`] only if no byte of the request was written
+    /// to a socket.
     pub(crate) async fn exchange(
         self: &Arc<Self>,
         addr: SocketAddr,
@@ -314,14 +315,14 @@
         Ok(response)
     }
 
-    /// Does the same as [`exchange`](Self::exchange) if `may_send` says so once a connection
-    /// is there, and passes the head of the answer to `on_head` as soon as it has come, also
-    /// where the rest does not follow. Returns what that made of the head, too.
+    /// Works like [`exchange`](Self::exchange), but before sending over a new connection
+    /// `may_send` must return true. Calls `on_head` with the head of the response as soon
+    /// as it arrives, even if the body does not follow, and returns its result as well.
     ///
     /// # Errors
     ///
-    /// Returns [`SendError::NotSent`] only when nothing of the request was
-    /// handed to a socket.
+    /// Returns [`SendError::NotSent`] only if no byte of the request was written
+    /// to a socket.
     pub(crate) async fn exchange_with<T>(
         self: &Arc<Self>,
         addr: SocketAddr,
@@ -332,22 +333,22 @@
         on_head: impl FnOnce(&response::Parts) -> T,
     ) -> Result<(T, Response<Bytes>), SendError> {
         let not_after = Instant::now() + timeout;
-        let whole = async {
+        let complete = async {
             let sending = self.send_reusing(addr, request, not_after, Reuse::Any, may_send);
             let Exchange { response, lease } = sending.await?;
             let (head, body) = response.into_parts();
-            let seen = on_head(&head);
+            let head_result = on_head(&head);
             let body = Limited::new(body, max_bytes)
                 .collect()
                 .await
                 .map_err(|err| SendError::Sent(err.to_string()))?;
-            lease.keep().await;
-            Ok((seen, Response::from_parts(head, body.to_bytes())))
+            lease.release().await;
+            Ok((head_result, Response::from_parts(head, body.to_bytes())))
         };
-        match time::timeout(timeout, whole).await {
+        match time::timeout(timeout, complete).await {
             Ok(result) => result,
             Err(_) => {
-                self.forget(addr);
+                self.close_idle(addr);
                 Err(SendError::Sent("timeout".to_owned()))
             }
         }
@@ -358,7 +359,7 @@
         addr: SocketAddr,
         mut connection: Connection,
         request: Request<Full<Bytes>>,
-    ) -> Result<Exchange, Attempt> {
+    ) -> Result<Exchange, SendFailure> {
         match connection.sender.try_send_request(request).await {
             Ok(response) => Ok(Exchange {
                 response,
@@ -371,29 +372,29 @@
             Err(mut err) => {
                 let reason = err.error().to_string();
                 Err(match err.take_message() {
-                    Some(request) => Attempt::Unsent(Box::new(request), reason),
-                    None => Attempt::Handed(SendError::Sent(reason)),
+                    Some(request) => SendFailure::Unsent(Box::new(request), reason),
+                    None => SendFailure::Sent(SendError::Sent(reason)),
                 })
             }
         }
     }
 
     async fn connect(&self, addr: SocketAddr) -> Result<Connection, SendError> {
-        let stream = self.stream(addr).await;
+        let stream = self.connect_tcp(addr).await;
         let stream = stream.map_err(|err| SendError::NotSent(err.to_string()))?;
-        self.over(stream).await
+        self.handshake(stream).await
     }
 
-    async fn stream(&self, addr: SocketAddr) -> io::Result<TcpStream> {
+    async fn connect_tcp(&self, addr: SocketAddr) -> io::Result<TcpStream> {
         let connecting = time::timeout(self.settings.connect_timeout, TcpStream::connect(addr));
         let timeout = || io::Error::new(io::ErrorKind::TimedOut, "connect timeout");
         connecting.await.unwrap_or_else(|_| Err(timeout()))
     }
 
-    /// Prepares a stream for requests.
-    async fn over(&self, stream: TcpStream) -> Result<Connection, SendError> {
-        // Without it small writes wait for acknowledgements; it may fail on a
-        // socket that is closed already, which the exchange then finds out.
+    /// Establishes an HTTP connection over a stream.
+    async fn handshake(&self, stream: TcpStream) -> Result<Connection, SendError> {
+        // Without TCP_NODELAY, small writes wait for acknowledgements. The call may
+        // fail on a closed socket; the exchange then fails as well.
         let _ = stream.set_nodelay(true);
         let gates = GateSlot::default();
         let stream = GatedStream::new(stream, gates.clone());
@@ -403,7 +404,7 @@
             .await
             .map_err(|err| SendError::NotSent(err.to_string()))?;
         let driver = tokio::spawn(async move {
-            // What goes wrong on the connection is told to its exchange.
+            // The exchange gets the errors of its connection.
             let _ = driver.await;
         });
         Ok(Connection {
@@ -420,14 +421,14 @@
         while let Some(newest) = idle.pop() {
             let is_recent = match reuse {
                 Reuse::Any => true,
-                Reuse::Within(age) => now.duration_since(newest.since) <= age,
+                Reuse::Within(age) => now.duration_since(newest.last_used_at) <= age,
             };
             if !is_recent {
-                // The ones before it were used longer ago.
+                // The remaining connections were used even longer ago.
                 idle.push(newest);
                 return None;
             }
-            if now < newest.until && newest.connection.sender.is_ready() {
+            if now < newest.expires_at && newest.connection.sender.is_ready() {
                 return Some(newest.connection);
             }
         }
@@ -439,11 +440,11 @@
         let mut all = self.lock();
         let idle = all.entry(addr).or_default();
         if idle.len() < self.settings.max_idle {
-            let since = Instant::now();
+            let last_used_at = Instant::now();
             idle.push(Idle {
                 connection,
-                since,
-                until: since + limit.min(self.settings.idle_timeout),
+                last_used_at,
+                expires_at: last_used_at + limit.min(self.settings.idle_timeout),
             });
         }
     }
@@ -453,10 +454,10 @@
     }
 }
 
-/// Why one connection did not bring an answer.
-enum Attempt {
-    /// The request was not handed over and comes back.
+/// Why an exchange over one connection failed.
+enum SendFailure {
+    /// The request was not sent and is returned.
     Unsent(Box<Request<Full<Bytes>>>, String),
-    /// The request was handed over.
-    Handed(SendError),
+    /// The request was sent.
+    Sent(SendError),
 }
--- a/crates/server/src/exclusive.rs
+++ b/crates/server/src/exclusive.rs
@@ -1,5 +1,5 @@
-//! Runs a request that may not be run twice: under a claim of its idempotency
-//! key, or under a ticket.
+//! Runs a non-idempotent request at most once, under a claim of its idempotency
+//! key or under a ticket.
 
 mod claimed;
 mod serving;
@@ -23,19 +23,19 @@
     answers::AnswerKey,
     controller::Account,
     instance::{InFlight, Shared},
-    run_right::{Hold, RunRight},
+    run_right::{Grant, RunRight},
     runner::{self, Update},
 };
 
-/// Reason of an answer to a key or ticket that was used for another request.
+/// Reason given when a key or ticket was already used for a different request.
 pub(crate) const REUSED: &str = "key_reused";
-/// Reason of an answer to a ticket that can't be used.
+/// Reason given for an invalid or expired ticket.
 pub(crate) const TICKET_NOT_VALID: &str = "ticket_not_valid";
-const ANSWER_NOT_KEPT: &str = "answer_not_kept";
-/// Time after which a request that started nothing may come back, in ms.
+const ANSWER_NOT_RETAINED: &str = "answer_not_kept";
+/// Retry delay suggested for a request that started nothing.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// What a request is run under.
+/// What makes sure that a request runs at most once.
 #[derive(Clone, Debug)]
 pub(crate) enum Warrant {
     /// The caller's idempotency key.
@@ -44,7 +44,7 @@
     Ticket(TicketId),
 }
 
-/// A request on its way to run once.
+/// A request that is resolved to a run or to an existing answer.
 struct Request {
     shared: Arc<Shared>,
     spec: ExecutionSpec,
@@ -53,13 +53,13 @@
     deadline: Instant,
 }
 
-/// What is done with a request.
-enum Way {
+/// How a request is resolved.
+enum Resolution {
     Run(Arc<RunRight>),
     Answer(Box<Answer>),
 }
 
-/// Takes a request in a task of its own and returns what happens to it.
+/// Spawns a task that handles a request, and returns its updates.
 pub(crate) fn start(
     shared: &Arc<Shared>,
     warrant: Warrant,
@@ -85,13 +85,13 @@
 
 impl Request {
     async fn run(self, warrant: Warrant, updates: mpsc::UnboundedSender<Update>) {
-        let way = match warrant {
+        let resolution = match warrant {
             Warrant::Key(key) => self.claim(key, &updates).await,
             Warrant::Ticket(id) => self.redeem(id).await,
         };
-        self.log(&way);
-        match way {
-            Way::Run(right) => {
+        self.log(&resolution);
+        match resolution {
+            Resolution::Run(right) => {
                 let Self {
                     shared,
                     spec,
@@ -100,18 +100,18 @@
                 } = self;
                 runner::run(&shared, spec, account, Some(right), updates).await;
             }
-            Way::Answer(answer) => {
+            Resolution::Answer(answer) => {
                 self.account.close(&completion_of(&answer));
-                // Nobody listens when the caller has gone.
+                // The receiver is dropped when the caller has disconnected.
                 let _ = updates.send(Update::Given(answer));
             }
         }
     }
 
-    fn log(&self, way: &Way) {
-        let (choice, reason) = match way {
-            Way::Run(_) => ("run", None),
-            Way::Answer(answer) => (answer.outcome.as_str(), answer.reason.as_deref()),
+    fn log(&self, resolution: &Resolution) {
+        let (choice, reason) = match resolution {
+            Resolution::Run(_) => ("run", None),
+            Resolution::Answer(answer) => (answer.outcome.as_str(), answer.reason.as_deref()),
         };
         metrics::counter!("savoryvane_decisions_total", "kind" => "claim", "reason" => choice)
             .increment(1);
@@ -119,27 +119,27 @@
             "request" => %self.spec.request, "choice" => choice, "reason" => reason);
     }
 
-    fn win(&self, hold: Hold, key: AnswerKey) -> Way {
+    fn grant(&self, grant: Grant, key: AnswerKey) -> Resolution {
         let (pipeline, deadline_at_ms) = (self.spec.pipeline.clone(), self.spec.deadline_at_ms);
-        let right = RunRight::new(&self.shared, hold, key, pipeline, deadline_at_ms);
-        Way::Run(Arc::new(right))
+        let right = RunRight::new(&self.shared, grant, key, pipeline, deadline_at_ms);
+        Resolution::Run(Arc::new(right))
     }
 
-    /// Gives the answer of a run that has ended. Without its body a complete
-    /// run can't be told as complete.
+    /// Returns the recorded answer of a run that has ended. Without the body,
+    /// even a complete run is reported with an unknown outcome.
     fn recorded(&self, completion: &claim::Completion) -> Box<Answer> {
         let body = completion.answer.as_deref();
         match body.map(serde_json::from_slice::<Answer>) {
-            Some(Ok(answer)) => self.own(Answer {
+            Some(Ok(answer)) => self.with_own_id(Answer {
                 outcome: completion.outcome,
                 ..answer
             }),
-            Some(Err(_)) | None => self.answer(Outcome::Unknown, ANSWER_NOT_KEPT),
+            Some(Err(_)) | None => self.answer(Outcome::Unknown, ANSWER_NOT_RETAINED),
         }
     }
 
-    /// Makes an answer that another request got this one's.
-    fn own(&self, answer: Answer) -> Box<Answer> {
+    /// Returns the answer of another request under the ID of this request.
+    fn with_own_id(&self, answer: Answer) -> Box<Answer> {
         Box::new(Answer {
             request_id: self.spec.request.clone(),
             ..answer
@@ -156,7 +156,10 @@
 }
 
 fn plain_answer(request: &RequestId, outcome: Outcome, reason: &str) -> Answer {
-    let is_final = matches!(reason, REUSED | TICKET_NOT_VALID | ticketed::ISSUER_GONE);
+    let is_final = matches!(
+        reason,
+        REUSED | TICKET_NOT_VALID | ticketed::ISSUER_UNREACHABLE
+    );
     Answer {
         request_id: request.clone(),
         outcome,
@@ -167,7 +170,8 @@
     }
 }
 
-/// What is accounted for a request that was answered without a run of its own.
+/// Returns the completion to account for a request that was answered without a
+/// run of its own.
 fn completion_of(answer: &Answer) -> Completion {
     Completion {
         outcome: answer.outcome,
--- a/crates/server/src/exclusive/claimed.rs
+++ b/crates/server/src/exclusive/claimed.rs
@@ -17,129 +17,134 @@
     time::{self, Instant},
 };
 
-use super::{REUSED, Request, Way};
+use super::{REUSED, Request, Resolution};
 use crate::{
     answers::{AnswerKey, Found},
-    claims::Claiming,
-    run_right::Hold,
+    claims::PendingClaim,
+    run_right::Grant,
     runner::Update,
 };
 
-/// What another instance knows of the first run.
-enum Fetched {
+/// Result of the request for the first run's answer.
+enum FetchResult {
     Answer(Box<Answer>),
-    /// It lives, and has no run under the key.
+    /// The instance is reachable but has no answer under the key.
     Absent,
-    Gone,
+    /// The instance did not respond.
+    Unreachable,
 }
 
-/// What a request that waits for its claim is told next.
-enum Wake {
+/// Event that a request receives while it waits for its claim.
+enum WakeEvent {
     Decided(Option<Decision>),
-    Fetched(Fetched),
+    FetchResult(FetchResult),
     Ended(ClaimReason),
 }
 
-type Fetch = Pin<Box<dyn Future<Output = Fetched> + Send>>;
+type Fetch = Pin<Box<dyn Future<Output = FetchResult> + Send>>;
 
 impl Request {
-    /// Claims the key and waits for what is decided.
+    /// Claims the key and waits for a final decision.
     pub(super) async fn claim(
         &self,
         key: IdempotencyKey,
         updates: &mpsc::UnboundedSender<Update>,
-    ) -> Way {
+    ) -> Resolution {
         let claims = &self.shared.claims;
         let hash = KeyHash::of(&self.spec.workspace, &key);
-        let ask = ClaimRequest {
+        let request = ClaimRequest {
             key: hash,
             fingerprint: self.fingerprint,
             deadline_ms: self.spec.deadline_at_ms,
         };
-        let Claiming {
+        let PendingClaim {
             attempt,
             mut decisions,
-        } = claims.begin(self.now_ms(), ask);
+        } = claims.begin(self.now_ms(), request);
         let mut fetch: Option<Fetch> = None;
         loop {
             let wake = tokio::select! {
                 biased;
-                decision = decisions.recv() => Wake::Decided(decision),
-                fetched = pending_or(&mut fetch) => Wake::Fetched(fetched),
-                () = time::sleep_until(self.deadline) => Wake::Ended(ClaimReason::Deadline),
-                () = updates.closed() => Wake::Ended(ClaimReason::CallerGone),
+                decision = decisions.recv() => WakeEvent::Decided(decision),
+                fetched = poll_fetch(&mut fetch) => WakeEvent::FetchResult(fetched),
+                () = time::sleep_until(self.deadline) => WakeEvent::Ended(ClaimReason::Deadline),
+                () = updates.closed() => WakeEvent::Ended(ClaimReason::CallerGone),
             };
             let decision = match wake {
-                Wake::Decided(Some(decision)) => decision,
-                Wake::Decided(None) => return self.end_attempt(attempt, ClaimReason::NotHolder),
-                Wake::Ended(reason) => return self.end_attempt(attempt, reason),
-                Wake::Fetched(Fetched::Answer(answer)) => {
+                WakeEvent::Decided(Some(decision)) => decision,
+                WakeEvent::Decided(None) => {
+                    return self.end_attempt(attempt, ClaimReason::NotHolder);
+                }
+                WakeEvent::Ended(reason) => return self.end_attempt(attempt, reason),
+                WakeEvent::FetchResult(FetchResult::Answer(answer)) => {
                     self.end_attempt(attempt, ClaimReason::NothingSent);
-                    return Way::Answer(self.own(*answer));
+                    return Resolution::Answer(self.with_own_id(*answer));
                 }
-                Wake::Fetched(fetched) => {
+                WakeEvent::FetchResult(fetched) => {
                     fetch = None;
-                    let known = match fetched {
-                        Fetched::Gone => claims.holder_gone(self.now_ms(), attempt),
-                        Fetched::Answer(_) | Fetched::Absent => claims.recorded(attempt),
+                    let decision = match fetched {
+                        FetchResult::Unreachable => {
+                            claims.on_holder_unreachable(self.now_ms(), attempt)
+                        }
+                        FetchResult::Answer(_) | FetchResult::Absent => claims.recorded(attempt),
                     };
-                    match known {
+                    match decision {
                         Some(decision) => decision,
                         None => continue,
                     }
                 }
             };
             match decision {
-                Decision::Won => return self.win(Hold::Claim(attempt), AnswerKey::Key(hash)),
+                Decision::Won => return self.grant(Grant::Claim(attempt), AnswerKey::Key(hash)),
                 Decision::Join(first) => fetch = Some(self.fetch(first, key.clone(), hash)),
                 decision => {
-                    claims.forget(attempt);
-                    return Way::Answer(self.decided(decision));
+                    claims.unsubscribe(attempt);
+                    return Resolution::Answer(self.answer_decision(decision));
                 }
             }
         }
     }
 
-    fn end_attempt(&self, attempt: Attempt, reason: ClaimReason) -> Way {
+    fn end_attempt(&self, attempt: Attempt, reason: ClaimReason) -> Resolution {
         let ending = self.shared.claims.give_up(self.now_ms(), attempt, reason);
         let outcome = ending.map_or(Outcome::NotStarted, |ending| ending.outcome);
-        Way::Answer(self.answer(outcome, reason.as_str()))
+        Resolution::Answer(self.answer(outcome, reason.as_str()))
     }
 
-    /// Asks the instance that has the first run for its answer.
+    /// Requests the answer of the first run from its instance.
     fn fetch(&self, first: FirstRun, key: IdempotencyKey, hash: KeyHash) -> Fetch {
         let (shared, deadline) = (Arc::clone(&self.shared), self.deadline);
         let workspace = self.spec.workspace.clone();
         Box::pin(async move {
             if first.id.incarnation == shared.incarnation {
                 return match shared.answers.wait(&AnswerKey::Key(hash), deadline).await {
-                    Found::Ended(body) => parsed(&body),
-                    Found::Absent | Found::InFlight => Fetched::Absent,
+                    Found::Ended(body) => parse_answer(&body),
+                    Found::Absent | Found::InFlight => FetchResult::Absent,
                 };
             }
-            let left = deadline.saturating_duration_since(Instant::now());
+            let remaining = deadline.saturating_duration_since(Instant::now());
             let query = Message::AnswerQuery(AnswerQuery {
                 workspace,
                 key,
-                wait_ms: left.as_millis() as u64,
+                wait_ms: remaining.as_millis() as u64,
             });
             let incarnation = Some(first.id.incarnation);
             let peers = shared.members.peers();
             match peers
-                .request(&first.instance, incarnation, &query, left)
+                .request(&first.instance, incarnation, &query, remaining)
                 .await
             {
-                Ok(Message::AnswerState(AnswerState::Answered(body))) => parsed(&body),
+                Ok(Message::AnswerState(AnswerState::Answered(body))) => parse_answer(&body),
                 Ok(Message::AnswerState(AnswerState::Absent | AnswerState::InFlight)) => {
-                    Fetched::Absent
+                    FetchResult::Absent
                 }
-                Ok(_) | Err(_) => Fetched::Gone,
+                Ok(_) | Err(_) => FetchResult::Unreachable,
             }
         })
     }
 
-    /// Answers from a final decision.
-    fn decided(&self, decision: Decision) -> Box<Answer> {
+    /// Returns the answer that follows from a final decision.
+    fn answer_decision(&self, decision: Decision) -> Box<Answer> {
         match decision {
             Decision::Recorded(completion) => self.recorded(&completion),
             Decision::Misuse => self.answer(Outcome::NotStarted, REUSED),
@@ -151,14 +156,14 @@
     }
 }
 
-fn parsed(body: &[u8]) -> Fetched {
+fn parse_answer(body: &[u8]) -> FetchResult {
     match serde_json::from_slice(body) {
-        Ok(answer) => Fetched::Answer(Box::new(answer)),
-        Err(_) => Fetched::Absent,
+        Ok(answer) => FetchResult::Answer(Box::new(answer)),
+        Err(_) => FetchResult::Absent,
     }
 }
 
-async fn pending_or(fetch: &mut Option<Fetch>) -> Fetched {
+async fn poll_fetch(fetch: &mut Option<Fetch>) -> FetchResult {
     match fetch {
         Some(fetch) => fetch.await,
         None => std::future::pending().await,
--- a/crates/server/src/exclusive/serving.rs
+++ b/crates/server/src/exclusive/serving.rs
@@ -1,4 +1,5 @@
-//! What peers ask for: the answer under a key, and the run of a ticket.
+//! Serves requests of peers for the answer under a key and for the run of a
+//! ticket.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,7 +10,7 @@
 };
 use tokio::{sync::mpsc, time::Instant};
 
-use super::{Warrant, plain_answer, ticketed::ISSUER_SILENT};
+use super::{Warrant, plain_answer, ticketed::ISSUER_UNRESPONSIVE};
 use crate::{
     answers::{AnswerKey, Found},
     caller::final_answer,
@@ -19,7 +20,7 @@
     runner::Update,
 };
 
-/// Answers a peer that asks for the answer under a key.
+/// Returns the answer under a key to a peer, after at most `wait`.
 pub(crate) async fn answer_state(
     shared: &Shared,
     query: AnswerQuery,
@@ -34,21 +35,21 @@
     }
 }
 
-/// Runs a request that a peer passes on with a ticket of this instance.
+/// Runs a request that a peer forwarded with a ticket of this instance.
 pub(crate) async fn run_forwarded(shared: &Arc<Shared>, run: TicketRun) -> AnswerState {
     let request = run.request.clone();
-    let answer = match forwarded(shared, run) {
-        Ok(updates) => final_of(updates, &request).await,
+    let answer = match execute_forwarded(shared, run) {
+        Ok(updates) => await_final_answer(updates, &request).await,
         Err(refusal) => plain_answer(&request, Outcome::NotStarted, &refusal.code()),
     };
     AnswerState::Answered(serde_json::to_vec(&answer).unwrap_or_default())
 }
 
-fn forwarded(
+fn execute_forwarded(
     shared: &Arc<Shared>,
     run: TicketRun,
 ) -> Result<mpsc::UnboundedReceiver<Update>, Refusal> {
-    // One that isn't ours would go on from instance to instance.
+    // Prevents forwarding loops: only tickets of this incarnation run here.
     let id = TicketId::parse(&run.ticket)
         .filter(|id| id.incarnation == shared.incarnation)
         .ok_or(Refusal::TicketNotValid)?;
@@ -73,7 +74,10 @@
     ))
 }
 
-async fn final_of(mut updates: mpsc::UnboundedReceiver<Update>, request: &RequestId) -> Answer {
+async fn await_final_answer(
+    mut updates: mpsc::UnboundedReceiver<Update>,
+    request: &RequestId,
+) -> Answer {
     while let Some(update) = updates.recv().await {
         match update {
             Update::Token { .. } => {}
@@ -81,5 +85,5 @@
             Update::Given(answer) => return *answer,
         }
     }
-    plain_answer(request, Outcome::Unknown, ISSUER_SILENT)
+    plain_answer(request, Outcome::Unknown, ISSUER_UNRESPONSIVE)
 }
--- a/crates/server/src/exclusive/ticketed.rs
+++ b/crates/server/src/exclusive/ticketed.rs
@@ -1,4 +1,4 @@
-//! Runs a request under a ticket, here or at the instance that issued it.
+//! Runs a request under a ticket, locally or at the instance that issued it.
 
 use savoryvane_core::{
     claim::Completion,
@@ -12,59 +12,59 @@
 };
 use tokio::time::Instant;
 
-use super::{ANSWER_NOT_KEPT, REUSED, Request, TICKET_NOT_VALID, Way};
+use super::{ANSWER_NOT_RETAINED, REUSED, Request, Resolution, TICKET_NOT_VALID};
 use crate::{
     answers::{AnswerKey, Found},
-    run_right::Hold,
+    run_right::Grant,
 };
 
-pub(super) const ISSUER_GONE: &str = "ticket_issuer_gone";
-pub(super) const ISSUER_SILENT: &str = "ticket_issuer_silent";
+pub(super) const ISSUER_UNREACHABLE: &str = "ticket_issuer_gone";
+pub(super) const ISSUER_UNRESPONSIVE: &str = "ticket_issuer_silent";
 
-/// How a request uses a ticket that it does not run.
-enum Use {
-    /// It gets the answer of the ticket's run, which may have ended.
-    Joined(Option<Completion>),
-    /// The instance that issued the ticket answers it.
-    Elsewhere,
-    /// It can't use it, for this reason.
+/// How a request under a ticket is handled when it does not start the run.
+enum Disposition {
+    /// Waits for the ticket's run, or returns its recorded completion.
+    Join(Option<Completion>),
+    /// Forwards the request to the instance that issued the ticket.
+    Forward,
+    /// Rejects the request, with this reason.
     Refused(&'static str),
 }
 
 impl Request {
-    /// Uses the ticket.
-    pub(super) async fn redeem(&self, id: TicketId) -> Way {
+    /// Redeems the ticket.
+    pub(super) async fn redeem(&self, id: TicketId) -> Resolution {
         let key = AnswerKey::Ticket(id.clone());
-        let use_of = {
-            let mut book = self.shared.tickets.book();
-            match book.redeem(self.now_ms(), &id, &self.spec.workspace, self.fingerprint) {
-                // The run is entered while the book is locked, so that whoever
-                // joins it finds it.
-                Redemption::Run => return self.win(Hold::Ticket(id), key),
-                Redemption::Join => Use::Joined(None),
-                Redemption::Recorded(completion) => Use::Joined(Some(completion)),
-                Redemption::Forward => Use::Elsewhere,
-                Redemption::Misuse => Use::Refused(REUSED),
-                Redemption::NotValid => Use::Refused(TICKET_NOT_VALID),
+        let disposition = {
+            let mut registry = self.shared.tickets.registry();
+            match registry.redeem(self.now_ms(), &id, &self.spec.workspace, self.fingerprint) {
+                // Registers the run while the registry is locked, so that every
+                // request that joins it finds it.
+                Redemption::Run => return self.grant(Grant::Ticket(id), key),
+                Redemption::Join => Disposition::Join(None),
+                Redemption::Recorded(completion) => Disposition::Join(Some(completion)),
+                Redemption::Forward => Disposition::Forward,
+                Redemption::Misuse => Disposition::Refused(REUSED),
+                Redemption::NotValid => Disposition::Refused(TICKET_NOT_VALID),
             }
         };
-        Way::Answer(match use_of {
-            Use::Joined(recorded) => self.join(&key, recorded).await,
-            Use::Elsewhere => self.forward(id).await,
-            Use::Refused(reason) => self.answer(Outcome::NotStarted, reason),
+        Resolution::Answer(match disposition {
+            Disposition::Join(recorded) => self.join(&key, recorded).await,
+            Disposition::Forward => self.forward(id).await,
+            Disposition::Refused(reason) => self.answer(Outcome::NotStarted, reason),
         })
     }
 
-    /// Waits for the answer of the ticket's run, which has ended if it is
-    /// `recorded`.
+    /// Waits for the answer of the ticket's run. `recorded` is its completion if
+    /// the run has already ended.
     async fn join(&self, key: &AnswerKey, recorded: Option<Completion>) -> Box<Answer> {
         match (self.shared.answers.wait(key, self.deadline).await, recorded) {
             (Found::Ended(body), _) => match serde_json::from_slice::<Answer>(&body) {
-                Ok(answer) => self.own(answer),
-                Err(_) => self.answer(Outcome::Unknown, ANSWER_NOT_KEPT),
+                Ok(answer) => self.with_own_id(answer),
+                Err(_) => self.answer(Outcome::Unknown, ANSWER_NOT_RETAINED),
             },
             (_, Some(completion)) => self.recorded(&completion),
-            // The run that was waited for has sent nothing.
+            // The joined run ended without sending a call.
             (Found::Absent, None) => {
                 self.answer(Outcome::NotStarted, ClaimReason::NothingSent.as_str())
             }
@@ -74,9 +74,9 @@
         }
     }
 
-    /// Passes the request on to the instance that issued its ticket.
+    /// Forwards the request to the instance that issued its ticket.
     async fn forward(&self, id: TicketId) -> Box<Answer> {
-        let left = self.deadline.saturating_duration_since(Instant::now());
+        let remaining = self.deadline.saturating_duration_since(Instant::now());
         let submission = Submission {
             input: self.spec.input.clone(),
         };
@@ -85,21 +85,26 @@
             workspace: self.spec.workspace.clone(),
             pipeline: self.spec.pipeline.name.clone(),
             request: self.spec.request.clone(),
-            deadline_ms: left.as_millis() as u64,
+            deadline_ms: remaining.as_millis() as u64,
             body: serde_json::to_vec(&submission).unwrap_or_default(),
         });
         let peers = self.shared.members.peers();
         let incarnation = Some(id.incarnation);
-        match peers.request(&id.instance, incarnation, &run, left).await {
+        match peers
+            .request(&id.instance, incarnation, &run, remaining)
+            .await
+        {
             Ok(Message::AnswerState(AnswerState::Answered(body))) => {
                 match serde_json::from_slice::<Answer>(&body) {
-                    Ok(answer) => self.own(answer),
-                    Err(_) => self.answer(Outcome::Unknown, ISSUER_SILENT),
+                    Ok(answer) => self.with_own_id(answer),
+                    Err(_) => self.answer(Outcome::Unknown, ISSUER_UNRESPONSIVE),
                 }
             }
-            Ok(_) => self.answer(Outcome::Unknown, ISSUER_SILENT),
-            Err(err) if err.is_nothing_done() => self.answer(Outcome::NotStarted, ISSUER_GONE),
-            Err(_) => self.answer(Outcome::Unknown, ISSUER_SILENT),
+            Ok(_) => self.answer(Outcome::Unknown, ISSUER_UNRESPONSIVE),
+            Err(err) if err.is_nothing_done() => {
+                self.answer(Outcome::NotStarted, ISSUER_UNREACHABLE)
+            }
+            Err(_) => self.answer(Outcome::Unknown, ISSUER_UNRESPONSIVE),
         }
     }
 }
--- a/crates/server/src/gateway/attempt.rs
+++ b/crates/server/src/gateway/attempt.rs
@@ -265,7 +265,7 @@
         .keep_alive_s
         .map_or(Duration::MAX, Duration::from_secs)
         .saturating_sub(KEEP_ALIVE_MARGIN);
-    tokio::spawn(async move { lease.keep_for(limit).await });
+    tokio::spawn(async move { lease.release_for(limit).await });
 }
 
 /// Returns what makes a response unusable, judged by its head.
--- a/crates/server/src/gateway/failover.rs
+++ b/crates/server/src/gateway/failover.rs
@@ -223,7 +223,7 @@
         let entry = self.view.directory().entry(server).cloned();
         if let Some(entry) = entry {
             // Other pooled connections to it may be dead too.
-            self.servers.forget(entry.addr);
+            self.servers.close_idle(entry.addr);
             let lost = self.lost_connection(caller, entry);
             self.crash_detector.on_silent(lost);
         }
--- a/crates/server/src/gateway/stage_calls.rs
+++ b/crates/server/src/gateway/stage_calls.rs
@@ -272,7 +272,7 @@
     ) -> bool {
         for _ in 0..MAX_PROBES {
             time::sleep(PROBE_INTERVAL).await;
-            if self.servers.warm(addr).await {
+            if self.servers.preconnect(addr).await {
                 info!(self.log, "server reached again"; "server" => %server);
                 return true;
             }
@@ -282,6 +282,6 @@
 
     /// Closes the pooled connections to an address, which another run may have now.
     pub(super) fn close_connections(&self, addr: SocketAddr) {
-        self.servers.forget(addr);
+        self.servers.close_idle(addr);
     }
 }
--- a/crates/server/src/orders.rs
+++ b/crates/server/src/orders.rs
@@ -52,7 +52,7 @@
         match time::timeout(self.timeout, sending).await {
             Ok(result) => result,
             Err(_) => {
-                self.connections.forget(addr);
+                self.connections.close_idle(addr);
                 OrderResult::Unanswered
             }
         }
@@ -77,7 +77,7 @@
         let Ok(body) = body.collect().await else {
             return OrderResult::Unanswered;
         };
-        lease.keep().await;
+        lease.release().await;
         result(status, &body.to_bytes())
     }
 }
--- a/crates/server/src/run_right.rs
+++ b/crates/server/src/run_right.rs
@@ -1,4 +1,4 @@
-//! The right to run one request that may not be run twice.
+//! The right to run one non-idempotent request at most once.
 
 use std::sync::Arc;
 
@@ -19,9 +19,9 @@
     instance::Shared,
 };
 
-/// What gives the right.
+/// Source of the right to run a request.
 #[derive(Clone, Debug)]
-pub(crate) enum Hold {
+pub(crate) enum Grant {
     /// A claim that won.
     Claim(Attempt),
     /// A ticket of this incarnation.
@@ -32,18 +32,18 @@
 #[derive(Debug)]
 pub(crate) struct RunRight {
     shared: Arc<Shared>,
-    hold: Hold,
+    grant: Grant,
     pipeline: Arc<Pipeline>,
     deadline_at_ms: u64,
     publisher: Publisher,
 }
 
 impl RunRight {
-    /// Creates the right that `hold` gives; whoever asks under `key` waits for
-    /// the run.
+    /// Creates the right that follows from `grant`, and registers the run under
+    /// `key`, so that other requests can wait for its answer.
     pub(crate) fn new(
         shared: &Arc<Shared>,
-        hold: Hold,
+        grant: Grant,
         key: AnswerKey,
         pipeline: Arc<Pipeline>,
         deadline_at_ms: u64,
@@ -51,7 +51,7 @@
         Self {
             publisher: shared.answers.begin(key),
             shared: Arc::clone(shared),
-            hold,
+            grant,
             pipeline,
             deadline_at_ms,
         }
@@ -59,8 +59,8 @@
 
     /// Creates the gate of one call of `stage`.
     pub(crate) fn gate(self: &Arc<Self>, stage: &StageName) -> Option<Arc<Gate>> {
-        let named = (0..).zip(&self.pipeline.stages);
-        let (index, stage) = named.into_iter().find(|(_, known)| known.name == *stage)?;
+        let stages = (0..).zip(&self.pipeline.stages);
+        let (index, stage) = stages.into_iter().find(|(_, known)| known.name == *stage)?;
         let kind = match stage.idempotent {
             true => CallKind::Idempotent,
             false => CallKind::NonIdempotent,
@@ -68,14 +68,15 @@
         Some(Arc::new(Gate::new(Arc::clone(self), index, kind)))
     }
 
-    /// Asks whether a call may be handed to a socket now; it counts as sent.
+    /// Requests permission to write a call to a socket now. A permitted call
+    /// counts as sent.
     pub(crate) fn permit(&self, stage: u32, kind: CallKind) -> Permit {
         let now_ms = self.shared.clock.now_ms();
-        let permit = match &self.hold {
-            Hold::Claim(attempt) => self.shared.claims.permit(now_ms, *attempt, stage, kind),
-            Hold::Ticket(id) => {
-                let mut book = self.shared.tickets.book();
-                book.permit(now_ms, id, self.deadline_at_ms, stage, kind)
+        let permit = match &self.grant {
+            Grant::Claim(attempt) => self.shared.claims.permit(now_ms, *attempt, stage, kind),
+            Grant::Ticket(id) => {
+                let mut registry = self.shared.tickets.registry();
+                registry.permit(now_ms, id, self.deadline_at_ms, stage, kind)
             }
         };
         if let Permit::Refused(reason) = permit {
@@ -85,42 +86,42 @@
         permit
     }
 
-    /// Takes back the last permit.
+    /// Retracts the last permit.
     pub(crate) fn retract(&self, cause: Retraction) {
-        match &self.hold {
-            Hold::Claim(attempt) => self.shared.claims.retract(*attempt, cause),
-            Hold::Ticket(id) => self.shared.tickets.book().retract(id, cause),
+        match &self.grant {
+            Grant::Claim(attempt) => self.shared.claims.retract(*attempt, cause),
+            Grant::Ticket(id) => self.shared.tickets.registry().retract(id, cause),
         }
     }
 
-    /// Ends the run: what is told, recorded and given to whoever waits is the
-    /// same, and never less than may have run.
+    /// Ends the run. The caller, the log and the requests that joined the run all
+    /// get the same outcome, which never denies a call that may have run.
     pub(crate) fn finish(&self, request: &RequestId, completion: &mut Completion) {
         let now_ms = self.shared.clock.now_ms();
-        let body = encoded(request, completion);
-        let told = match &self.hold {
-            Hold::Claim(attempt) => {
+        let body = encode_answer(request, completion);
+        let reported = match &self.grant {
+            Grant::Claim(attempt) => {
                 let claims = &self.shared.claims;
                 claims.finish(now_ms, *attempt, completion.outcome, &body)
             }
-            Hold::Ticket(id) => {
-                let mut book = self.shared.tickets.book();
-                book.finish(id, completion.outcome, &body)
+            Grant::Ticket(id) => {
+                let mut registry = self.shared.tickets.registry();
+                registry.finish(id, completion.outcome, &body)
             }
         };
-        completion.outcome = told;
-        if !told.is_safe_to_repeat() {
+        completion.outcome = reported;
+        if !reported.is_safe_to_repeat() {
             completion.retry_after_ms = None;
         }
-        match told {
+        match reported {
             Outcome::Complete | Outcome::Unknown => {
-                self.publisher.publish(encoded(request, completion));
+                self.publisher.publish(encode_answer(request, completion));
             }
             Outcome::NotRun | Outcome::NotStarted | Outcome::Failed => self.publisher.withdraw(),
         }
     }
 }
 
-fn encoded(request: &RequestId, completion: &Completion) -> Vec<u8> {
+fn encode_answer(request: &RequestId, completion: &Completion) -> Vec<u8> {
     serde_json::to_vec(&final_answer(request, completion.clone())).unwrap_or_default()
 }
--- a/crates/server/src/runner.rs
+++ b/crates/server/src/runner.rs
@@ -1,4 +1,4 @@
-//! Puts sockets and timers round the state machine of one request.
+//! Drives the state machine of one request with sockets and timers.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -25,10 +25,10 @@
     run_right::RunRight,
 };
 
-/// Events of calls that wait for the state machine.
-const EVENT_BUFFER: usize = 64;
+/// Maximum number of call events that wait for the state machine.
+const EVENT_QUEUE_CAPACITY: usize = 64;
 
-/// What the caller of a request is told.
+/// Update about a request for its caller.
 #[derive(Debug)]
 pub(crate) enum Update {
     /// One token of the last stage.
@@ -40,14 +40,13 @@
     },
     /// The final answer.
     Final(Box<Completion>),
-    /// The final answer, given by another run or instead of one.
+    /// The final answer from another run, or one that replaces a run.
     Given(Box<Answer>),
 }
 
-/// Runs a request in a task of its own, and accounts for it at its end; `guard`
-/// counts it as in flight. Tokens
-/// are not held back for a slow caller: there are at most as many as the stage
-/// may generate.
+/// Spawns a task that runs a request and accounts for it when it ends; `guard`
+/// counts it as in flight. A slow caller applies no backpressure to tokens: their
+/// number is bounded by what the stage may generate.
 pub(crate) fn start(
     shared: &Arc<Shared>,
     spec: ExecutionSpec,
@@ -55,16 +54,15 @@
     guard: InFlight,
 ) -> mpsc::UnboundedReceiver<Update> {
     let (updates, receiver) = mpsc::unbounded_channel();
-    let running = run(shared, spec, account, None, updates);
+    let run = run(shared, spec, account, None, updates);
     shared.tasks.spawn(async move {
-        running.await;
+        run.await;
         drop(guard);
     });
     receiver
 }
 
-/// Runs a request to its end; `right` is what it needs when it may not be run
-/// twice.
+/// Runs a request to its end. A non-idempotent request needs a `right`.
 pub(crate) fn run(
     shared: &Arc<Shared>,
     spec: ExecutionSpec,
@@ -72,7 +70,7 @@
     right: Option<Arc<RunRight>>,
     updates: mpsc::UnboundedSender<Update>,
 ) -> impl Future<Output = ()> + Send + 'static {
-    let (events, inbox) = mpsc::channel(EVENT_BUFFER);
+    let (events, inbox) = mpsc::channel(EVENT_QUEUE_CAPACITY);
     let execution = Execution::new(spec, shared.clock.now_ms());
     let runner = Runner {
         shared: Arc::clone(shared),
@@ -107,14 +105,14 @@
 
 impl Runner {
     async fn run(mut self, mut inbox: mpsc::Receiver<Event>) {
-        let mut is_caller_here = true;
-        let start = self.quarantined().unwrap_or(Event::Start);
-        self.take(start);
+        let mut is_caller_connected = true;
+        let first_event = self.quarantine_event().unwrap_or(Event::Start);
+        self.process(first_event);
         while !self.execution.is_finished() {
             let timer = self.timer.unwrap_or_else(Instant::now);
             let event = tokio::select! {
                 biased;
-                () = self.updates.closed(), if is_caller_here => Event::CallerGone,
+                () = self.updates.closed(), if is_caller_connected => Event::CallerGone,
                 Some(event) = inbox.recv() => event,
                 () = time::sleep_until(timer), if self.timer.is_some() => Event::Timer,
             };
@@ -123,17 +121,17 @@
                 event => event,
             };
             match event {
-                Event::CallerGone => is_caller_here = false,
+                Event::CallerGone => is_caller_connected = false,
                 Event::Timer => self.timer = None,
-                Event::Silent { attempt } => self.note_silent(attempt),
+                Event::Silent { attempt } => self.mark_silent(attempt),
                 _ => {}
             }
-            self.take(event);
+            self.process(event);
         }
     }
 
-    /// Finds out whether the server of a call that was lost has ended, and turns the loss
-    /// into the end of a request under which too many have.
+    /// Checks whether the server of a lost call has crashed. Returns a quarantine
+    /// event if the request is quarantined, else the loss.
     async fn on_lost(&self, attempt: u64) -> Event {
         if let Some(call) = self.calls.get(&attempt) {
             let lost = LostCall {
@@ -143,28 +141,28 @@
             };
             crashes::on_lost(&self.shared, lost).await;
         }
-        self.quarantined().unwrap_or(Event::Lost { attempt })
+        self.quarantine_event().unwrap_or(Event::Lost { attempt })
     }
 
-    fn quarantined(&self) -> Option<Event> {
+    fn quarantine_event(&self) -> Option<Event> {
         let (request, digest) = (self.account.request(), self.account.digest());
         let retry_after_ms = crashes::quarantined(&self.shared, request, &digest)?;
         Some(Event::Quarantined { retry_after_ms })
     }
 
-    fn take(&mut self, event: Event) {
+    fn process(&mut self, event: Event) {
         let actions = {
             let mut fleet = self.shared.fleet();
-            // Read under the lock, so that the fleet's time never steps back.
+            // Reads the clock under the lock, so that the fleet's time never goes back.
             let now_ms = self.shared.clock.now_ms();
             self.execution.on_event(now_ms, event, &mut fleet)
         };
         for action in actions {
-            self.act(action);
+            self.perform(action);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Send {
                 backend,
@@ -172,13 +170,13 @@
                 not_after_ms,
             } => {
                 let attempt = call.id.attempt;
-                let Some(addr) = self.addr(&backend) else {
-                    return self.report(Event::NotSent { attempt });
+                let Some(addr) = self.backend_addr(&backend) else {
+                    return self.enqueue(Event::NotSent { attempt });
                 };
                 let gate = match &self.right {
                     None => None,
                     Some(right) => match right.gate(&call.id.stage) {
-                        None => return self.report(Event::NotSent { attempt }),
+                        None => return self.enqueue(Event::NotSent { attempt }),
                         gate => gate,
                     },
                 };
@@ -186,7 +184,7 @@
                     self.shared.placement.note_call(model);
                 }
                 let server = backend.clone();
-                let to = Destination {
+                let destination = Destination {
                     backend,
                     addr,
                     gate,
@@ -196,7 +194,7 @@
                 let task = self
                     .shared
                     .tasks
-                    .spawn(async move { shared.backends.run(to, call, events).await });
+                    .spawn(async move { shared.backends.run(destination, call, events).await });
                 let call = RunningCall {
                     backend: server,
                     task: task.abort_handle(),
@@ -205,7 +203,7 @@
                 self.calls.insert(attempt, call);
             }
             Action::Cancel { backend, call } => self.cancel(&backend, call),
-            Action::EmitToken { index, text } => self.update(Update::Token { index, text }),
+            Action::EmitToken { index, text } => self.send_update(Update::Token { index, text }),
             Action::SetTimer { at_ms } => self.timer = Some(self.shared.clock.instant(at_ms)),
             Action::Log(decision) => self.log(&decision),
             Action::Discard { id, reason } => self.discard(&id, reason),
@@ -217,27 +215,27 @@
                     right.finish(self.account.request(), &mut completion);
                 }
                 self.account.close(&completion);
-                self.update(Update::Final(completion));
+                self.send_update(Update::Final(completion));
             }
         }
     }
 
-    fn addr(&self, backend: &BackendName) -> Option<std::net::SocketAddr> {
+    fn backend_addr(&self, backend: &BackendName) -> Option<std::net::SocketAddr> {
         let state = self.shared.configuration.state();
         state.backend(backend.as_str()).map(|backend| backend.addr)
     }
 
-    fn report(&self, event: Event) {
-        // The inbox holds more than a request has calls.
+    fn enqueue(&self, event: Event) {
+        // The capacity of the inbox exceeds the number of calls of a request.
         let _ = self.events.try_send(event);
     }
 
-    fn update(&self, update: Update) {
-        // Nobody listens when the caller has gone.
+    fn send_update(&self, update: Update) {
+        // The receiver is dropped when the caller has disconnected.
         let _ = self.updates.send(update);
     }
 
-    fn note_silent(&mut self, attempt: u64) {
+    fn mark_silent(&mut self, attempt: u64) {
         if let Some(call) = self.calls.get_mut(&attempt) {
             call.is_silent = true;
         }
@@ -248,11 +246,11 @@
         if let Some(call) = &call {
             call.task.abort();
         }
-        let Some(addr) = self.addr(backend) else {
+        let Some(addr) = self.backend_addr(backend) else {
             return;
         };
         if call.is_some_and(|call| call.is_silent) {
-            self.shared.backends.forget(addr);
+            self.shared.backends.close_idle(addr);
         }
         let shared = Arc::clone(&self.shared);
         self.shared
@@ -263,7 +261,7 @@
     fn discard(&mut self, id: &CallId, reason: DiscardReason) {
         metrics::counter!("savoryvane_discarded_answers_total", "reason" => reason.as_str())
             .increment(1);
-        warn!(self.shared.log, "answer not used"; "request" => %id.request,
+        warn!(self.shared.log, "answer discarded"; "request" => %id.request,
             "stage" => %id.stage, "attempt" => id.attempt, "reason" => reason.as_str());
         if reason != DiscardReason::Late
             && let Some(call) = self.calls.remove(&id.attempt)
--- a/crates/server/src/tickets.rs
+++ b/crates/server/src/tickets.rs
@@ -9,21 +9,21 @@
 
 use crate::{lock::lock, settings::Settings};
 
-/// Most tickets of one workspace that are remembered.
+/// Maximum number of retained tickets of one workspace.
 const MAX_PER_WORKSPACE: usize = 16_384;
-/// Most tickets that are remembered.
+/// Maximum number of retained tickets of all workspaces.
 const MAX_TOTAL: usize = 65_536;
 
-/// The tickets of this instance.
+/// Registry of the tickets that this instance has issued.
 #[derive(Debug)]
 pub(crate) struct Tickets {
-    book: Mutex<TicketRegistry>,
+    registry: Mutex<TicketRegistry>,
     valid_ms: u64,
 }
 
 impl Tickets {
-    /// Creates an empty book for one run of an instance. A ticket is remembered
-    /// until a request that was taken at its last moment has ended.
+    /// Creates an empty registry for one incarnation of an instance. It retains a
+    /// ticket until a request admitted just before the ticket expired has ended.
     pub(crate) fn new(settings: &Settings, incarnation: Incarnation) -> Self {
         let valid_ms = settings.claims.ticket_valid_ms;
         let limits = TicketLimits {
@@ -32,24 +32,24 @@
             max_per_workspace: MAX_PER_WORKSPACE,
             max_total: MAX_TOTAL,
         };
-        let book = TicketRegistry::new(settings.instance.clone(), incarnation, limits);
+        let registry = TicketRegistry::new(settings.instance.clone(), incarnation, limits);
         Self {
-            book: Mutex::new(book),
+            registry: Mutex::new(registry),
             valid_ms,
         }
     }
 
-    /// Locks the book, for a few steps without waiting.
-    pub(crate) fn book(&self) -> MutexGuard<'_, TicketRegistry> {
-        lock(&self.book)
+    /// Locks the registry. The guard must not be held across an `await`.
+    pub(crate) fn registry(&self) -> MutexGuard<'_, TicketRegistry> {
+        lock(&self.registry)
     }
 
-    /// Issues a ticket; `None` when there are too many.
+    /// Issues a ticket, or returns `None` if a limit on tickets is reached.
     pub(crate) fn issue(&self, now_ms: u64, workspace: &WorkspaceName) -> Option<TicketId> {
-        self.book().issue(now_ms, workspace, rand::random())
+        self.registry().issue(now_ms, workspace, rand::random())
     }
 
-    /// Returns the time that a ticket can be used, in ms.
+    /// Returns how long a ticket is valid, in ms.
     pub(crate) fn valid_ms(&self) -> u64 {
         self.valid_ms
     }
