--- a/crates/server/examples/peer_bytes.rs
+++ b/crates/server/examples/peer_bytes.rs
@@ -128,7 +128,7 @@
         addr: proxy,
     };
     peers.set_addrs([contact.clone()]);
-    peers.keep(&[contact]);
+    peers.set_gossip_peers(&[contact]);
     linked.recv().await;
 
     println!("\nBytes on the connection of two instances\n");
--- a/crates/server/src/admin/views.rs
+++ b/crates/server/src/admin/views.rs
@@ -24,7 +24,7 @@
 /// Counts what is known to have an offset in force. Instances of other zones are
 /// known by their zone's digest only.
 pub(super) fn reach(shared: &Shared, offset: Offset) -> Reach {
-    members::tell_own_state(shared);
+    members::announce_own_state(shared);
     let spread = shared.members.membership().propagation(offset);
     Reach {
         offset,
--- a/crates/server/src/crashes.rs
+++ b/crates/server/src/crashes.rs
@@ -1,5 +1,5 @@
-//! Counts which backend servers end under which requests of pipelines, with the other
-//! instances: each tells its neighbours what is new, and they tell theirs.
+//! Counts backend server crashes by pipeline request, together with the other instances:
+//! each sends new records to its neighbours, which forward them to theirs.
 
 use std::{
     net::SocketAddr,
@@ -29,39 +29,39 @@
     suspects::{self, CountedBy},
 };
 
-/// Which requests end servers, as far as this instance knows.
+/// Crash tracker of the requests sent_revision to this instance.
 #[derive(Debug)]
 pub(crate) struct Ends {
-    book: Mutex<CrashTracker>,
-    /// Ends that this instance has seen.
-    seen: AtomicU64,
+    tracker: Mutex<CrashTracker>,
+    /// Sequence number of the next crash that this instance observes.
+    next_sequence: AtomicU64,
 }
 
 impl Ends {
     pub(crate) fn new(settings: QuarantineSettings) -> Self {
         Self {
-            book: Mutex::new(CrashTracker::new(settings)),
-            seen: AtomicU64::new(0),
+            tracker: Mutex::new(CrashTracker::new(settings)),
+            next_sequence: AtomicU64::new(0),
         }
     }
 
-    /// Forgets requests whose time has come.
-    pub(crate) fn forget_old(&self, now_ms: u64) {
-        self.book().forget_expired(now_ms);
+    /// Drops expired requests.
+    pub(crate) fn forget_expired(&self, now_ms: u64) {
+        self.tracker().forget_expired(now_ms);
     }
 
-    /// Returns what is to be written to the log now.
-    pub(crate) fn to_write(&self, now_ms: u64, renewal: &Renewal) -> Vec<StoredCrashes> {
-        renewal.to_write(now_ms, &self.book())
+    /// Returns the records to write to the log now.
+    pub(crate) fn records_to_write(&self, now_ms: u64, renewal: &Renewal) -> Vec<StoredCrashes> {
+        renewal.to_write(now_ms, &self.tracker())
     }
 
-    /// Notes that a request is on the log.
-    pub(crate) fn on_kept(&self, kept: &StoredCrashes) {
-        self.book().on_persisted(kept);
+    /// Marks a request as persisted on the log.
+    pub(crate) fn on_persisted(&self, persisted: &StoredCrashes) {
+        self.tracker().on_persisted(persisted);
     }
 
-    fn book(&self) -> MutexGuard<'_, CrashTracker> {
-        lock(&self.book)
+    fn tracker(&self) -> MutexGuard<'_, CrashTracker> {
+        lock(&self.tracker)
     }
 }
 
@@ -73,54 +73,55 @@
     pub(crate) backend: &'a BackendName,
 }
 
-/// Returns when a request that is quarantined is tried again, in ms.
-pub(crate) fn quarantined(
+/// Returns the retry delay of a quarantined request, in ms, after logging and counting
+/// its refusal.
+pub(crate) fn check_quarantine(
     shared: &Shared,
     request: &RequestId,
     digest: &RequestDigest,
 ) -> Option<u64> {
     let now_ms = shared.clock.now_ms();
-    let standing = shared.ends.book().status(now_ms, digest);
+    let status = shared.ends.tracker().status(now_ms, digest);
     let QuarantineStatus::Quarantined {
         ends,
         retry_after_ms,
-    } = standing
+    } = status
     else {
         return None;
     };
     let retry = Some(retry_after_ms);
-    suspects::refused(&shared.log, request, digest, ends, CountedBy::Own, retry);
+    suspects::log_refusal(&shared.log, request, digest, ends, CountedBy::Own, retry);
     Some(retry_after_ms)
 }
 
-/// Finds out whether a server has ended under a call, within the time for one attempt to
-/// connect, and tells the neighbours if it has.
+/// Checks within the timeout of a probe whether a server has crashed under a call, and
+/// reports a crash to the neighbours.
 pub(crate) async fn on_lost(shared: &Shared, lost: LostCall<'_>) {
     let Some(backend) = backend(shared, lost.backend) else {
         return;
     };
     let neighbours = || neighbours(shared, &backend);
-    let probing = shared.backends.probe(backend.addr, neighbours);
-    let probes = time::timeout(probing::PROBE_TIMEOUT, probing).await;
+    let probe_future = shared.backends.probe(backend.addr, neighbours);
+    let probes = time::timeout(probing::PROBE_TIMEOUT, probe_future).await;
     let (probe, neighbour) = probes.unwrap_or((Probe::Unknown, Probe::Unknown));
     let registered = match shared.fleet().is_leaving(lost.backend) {
         true => Registered::Leaving,
         false => Registered::Ready,
     };
-    let fate = status_at_loss(registered, probe, neighbour);
+    let loss_status = status_at_loss(registered, probe, neighbour);
     info!(shared.log, "connection to server lost"; "request" => %lost.request,
         "digest" => %lost.digest, "server" => %lost.backend, "registered" => ?registered,
-        "probe" => ?probe, "neighbour" => ?neighbour, "fate" => ?fate);
-    if let LostServerStatus::Ended(evidence) = fate {
+        "probe" => ?probe, "neighbour" => ?neighbour, "fate" => ?loss_status);
+    if let LostServerStatus::Ended(evidence) = loss_status {
         on_ended(shared, lost, evidence);
     }
 }
 
 fn on_ended(shared: &Shared, lost: LostCall<'_>, evidence: Evidence) {
-    // A server has the same name after each start; what one instance saw is told apart
-    // by its number.
-    let number = shared.ends.seen.fetch_add(1, Ordering::Relaxed);
-    let run = format!("{} {}.{number}", lost.backend, shared.incarnation);
+    // A server has the same name after a restart. The incarnation and a sequence number
+    // distinguish the crashes that one instance observes.
+    let sequence = shared.ends.next_sequence.fetch_add(1, Ordering::Relaxed);
+    let run = format!("{} {}.{sequence}", lost.backend, shared.incarnation);
     let record = CrashReport {
         digest: lost.digest,
         server: BackendName::new(run),
@@ -130,12 +131,12 @@
     };
     let now_ms = shared.clock.now_ms();
     let others = shared.fleet().in_flight(lost.backend).saturating_sub(1);
-    let counts = shared.ends.book().on_crash(now_ms, record.clone());
-    let ends = shared.ends.book().ends(now_ms, &lost.digest);
+    let counts = shared.ends.tracker().on_crash(now_ms, record.clone());
+    let ends = shared.ends.tracker().ends(now_ms, &lost.digest);
     warn!(shared.log, "server crashed under request"; "request" => %lost.request,
         "digest" => %lost.digest, "server" => %lost.backend, "others" => others,
         "evidence" => evidence.as_str(), "ends" => ends);
-    suspects::count_end(evidence);
+    suspects::count_crash(evidence);
     if counts {
         shared
             .members
@@ -144,55 +145,55 @@
     }
 }
 
-/// Notes that a request was answered whole, which speaks for it.
+/// Records a complete answer to a request, which clears it as a suspect.
 pub(crate) fn on_answered(shared: &Shared, digest: RequestDigest) {
     let now_ms = shared.clock.now_ms();
-    let was_suspect = shared.ends.book().on_answered(now_ms, digest);
+    let was_suspect = shared.ends.tracker().on_answered(now_ms, digest);
     if was_suspect {
         info!(shared.log, "suspect cleared"; "digest" => %digest, "reason" => "answered");
-        let records = shared.ends.book().records(now_ms, &digest);
+        let records = shared.ends.tracker().records(now_ms, &digest);
         shared.members.peers().send_all(&Message::Ends(records));
     }
 }
 
-/// Takes over what a neighbour tells, and tells it on where it is new.
-pub(crate) fn on_told(shared: &Shared, records: Vec<CrashReport>) {
+/// Applies the records of a neighbour, and forwards them if they are new.
+pub(crate) fn on_reports(shared: &Shared, records: Vec<CrashReport>) {
     let now_ms = shared.clock.now_ms();
-    let has_changed = shared.ends.book().on_reports(now_ms, records.clone());
+    let has_changed = shared.ends.tracker().on_reports(now_ms, records.clone());
     if has_changed {
         info!(shared.log, "crashes advertised"; "ends" => records.len(), "source" => "peer");
         shared.members.peers().send_all(&Message::Ends(records));
     }
 }
 
-/// Takes over what the log says next, and tells the neighbours of what is new.
-pub(crate) fn on_logged(shared: &Shared, changes: Vec<StoredChange>) {
+/// Applies changes read from the log, and sends new records to the neighbours.
+pub(crate) fn on_log_changes(shared: &Shared, changes: Vec<StoredChange>) {
     let now_ms = shared.clock.now_ms();
-    let known = shared.ends.book().revision();
+    let sent_revision = shared.ends.tracker().revision();
     for change in changes {
-        shared.ends.book().on_log_change(now_ms, change);
+        shared.ends.tracker().on_log_change(now_ms, change);
     }
-    tell_since(shared, known, |message| {
+    send_since(shared, sent_revision, |message| {
         shared.members.peers().send_all(&message);
     });
 }
 
-/// Tells a neighbour to which a link was opened what is known.
-pub(crate) fn on_linked(shared: &Shared, peer: &InstanceName) {
-    tell_since(shared, 0, |message| {
+/// Sends all records to a neighbour to which a gossip stream was opened.
+pub(crate) fn on_connected(shared: &Shared, peer: &InstanceName) {
+    send_since(shared, 0, |message| {
         shared.members.peers().send(peer, message)
     });
 }
 
-/// Tells what has changed since the revision `known`, in messages of bounded length.
-fn tell_since(shared: &Shared, mut known: u64, send: impl Fn(Message)) {
+/// Sends the records that have changed since `sent_revision`, in messages of bounded length.
+fn send_since(shared: &Shared, mut sent_revision: u64, send: impl Fn(Message)) {
     let now_ms = shared.clock.now_ms();
-    shared.ends.book().forget_expired(now_ms);
-    while known < shared.ends.book().revision() {
-        let told = shared.ends.book().reports_since(now_ms, known);
-        known = told.revision;
-        if !told.records.is_empty() {
-            send(Message::Ends(told.records));
+    shared.ends.tracker().forget_expired(now_ms);
+    while sent_revision < shared.ends.tracker().revision() {
+        let reports = shared.ends.tracker().reports_since(now_ms, sent_revision);
+        sent_revision = reports.revision;
+        if !reports.records.is_empty() {
+            send(Message::Ends(reports.records));
         }
     }
 }
@@ -202,7 +203,7 @@
     state.backend(name.as_str()).cloned()
 }
 
-/// Returns some other servers of the availability zone of `backend`.
+/// Returns a sample of the other servers in the availability zone of `backend`.
 fn neighbours(shared: &Shared, backend: &Backend) -> Vec<SocketAddr> {
     let state = shared.configuration.state();
     let others = state.backends();
--- a/crates/server/src/gateway/admitting.rs
+++ b/crates/server/src/gateway/admitting.rs
@@ -12,7 +12,7 @@
     quarantine::{PermitGuard, PermitOutcome},
     request::CallerRequest,
 };
-use crate::suspects::{self, CountedBy, Reason};
+use crate::suspects::{self, CountedBy, RefusalReason};
 
 /// Longest time that a request waits for the known crashes at an instance that has just
 /// started; a few store calls take as long.
@@ -83,7 +83,7 @@
             QuarantineStatus::Quarantined { retry_after_ms, .. } => Some(retry_after_ms),
             QuarantineStatus::Suspect { .. } | QuarantineStatus::Clear => None,
         };
-        suspects::refused(
+        suspects::log_refusal(
             &self.log,
             &caller.id,
             &caller.digest,
@@ -106,7 +106,7 @@
         info!(self.log, "copy of suspect rejected"; "request" => %caller.id,
             "digest" => %caller.digest, "ends" => ends, "ends_from" => CountedBy::Scheduler.as_str(),
             "retry_after_ms" => retry_after_ms);
-        suspects::count_refusal(Reason::CopyRuns);
+        suspects::count_refusal(RefusalReason::CopyRuns);
         FailureReason::CopyRuns(retry_after_ms)
     }
 }
--- a/crates/server/src/gateway/crashes.rs
+++ b/crates/server/src/gateway/crashes.rs
@@ -140,7 +140,7 @@
                 "started_ms" => lost.server.started_ms, "service" => %lost.server.service,
                 "others" => others, "evidence" => evidence.as_str(), "ends" => crash_count);
         }
-        suspects::count_end(evidence);
+        suspects::count_crash(evidence);
         self.watch(lost, Some(evidence));
         self.quarantine.report().await;
     }
--- a/crates/server/src/instance.rs
+++ b/crates/server/src/instance.rs
@@ -229,7 +229,7 @@
         let drain = shared.settings.drain;
         info!(shared.log, "leaving"; "in_flight" => shared.in_flight());
         shared.phases.advance(Phase::Leaving);
-        members::tell_own_state(shared);
+        members::announce_own_state(shared);
         time::sleep(Duration::from_millis(drain.grace_ms)).await;
         shared.phases.advance(Phase::Draining);
         info!(shared.log, "draining"; "in_flight" => shared.in_flight());
--- a/crates/server/src/keeping.rs
+++ b/crates/server/src/keeping.rs
@@ -1,5 +1,5 @@
-//! Keeps requests of pipelines that are quarantined on the log, for the case that all
-//! instances are lost.
+//! Persists the crash records of pipeline requests on the log, so that quarantines survive
+//! the loss of all instances.
 
 use std::{sync::Arc, time::Duration};
 
@@ -23,117 +23,117 @@
     platform::{PlatformError, Result},
 };
 
-/// Time between two looks at what is to be read and kept.
-const LOOK_INTERVAL: Duration = Duration::from_secs(1);
-/// Pause after the log has failed.
-const FAILED_PAUSE: Duration = Duration::from_secs(2);
-/// Looks after which a record that is not delivered counts as missing.
-const GAP_LOOKS: u32 = 10;
-/// Instances that write beside each other, so that one of them may be lost and not yet
-/// missed. What both write is the same.
-const KEEPERS: u64 = 2;
+/// Interval at which the stream is read and new records are written.
+const SYNC_INTERVAL: Duration = Duration::from_secs(1);
+/// Delay after a failed read or write.
+const RETRY_DELAY: Duration = Duration::from_secs(2);
+/// Consecutive reads with a gap after which the missing records are skipped.
+const MAX_GAP_READS: u32 = 10;
+/// Number of instances that write at the same time, so that one of them may be lost
+/// before the loss is detected. All of them write the same records.
+const WRITERS: u64 = 2;
 
-/// What a keeper knows of the log.
-struct Keeper {
+/// State of an instance that reads and writes the quarantine stream.
+struct QuarantineWriter {
     records: StoredRecords,
     cursor: Offset,
-    /// Looks at which a record was missing.
-    gap_looks: u32,
+    /// Consecutive reads with a gap.
+    gap_reads: u32,
     renewal: Renewal,
 }
 
-impl Keeper {
+impl QuarantineWriter {
     fn new(shared: &Shared) -> Self {
         Self {
             records: StoredRecords::default(),
             cursor: Offset::default(),
-            gap_looks: 0,
+            gap_reads: 0,
             renewal: Renewal::new(shared.settings.platform.retention_ms),
         }
     }
 }
 
-/// Runs for as long as the instance does. Only the keepers use the log for it: a read a
-/// second, as it may deliver late what others wrote, and a write for each request and
-/// renewal.
+/// Runs until the instance stops. Only writers use the log: they read it once a second,
+/// as it may deliver the records of others late, and write once per request and renewal.
 pub(crate) async fn run(shared: Arc<Shared>) {
-    let mut looks = time::interval(LOOK_INTERVAL);
-    looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut keeper = None;
+    let mut ticks = time::interval(SYNC_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut writer = None;
     loop {
-        looks.tick().await;
-        shared.ends.forget_old(shared.clock.now_ms());
-        if !is_keeper(&shared) {
-            keeper = None;
+        ticks.tick().await;
+        shared.ends.forget_expired(shared.clock.now_ms());
+        if !is_writer(&shared) {
+            writer = None;
             continue;
         }
-        let keeper = keeper.get_or_insert_with(|| Keeper::new(&shared));
-        if let Err(err) = keep(&shared, keeper).await {
-            warn!(shared.log, "quarantine neither read nor kept"; "error" => %err);
-            time::sleep(FAILED_PAUSE).await;
+        let writer = writer.get_or_insert_with(|| QuarantineWriter::new(&shared));
+        if let Err(err) = synchronize(&shared, writer).await {
+            warn!(shared.log, "failed to synchronize the quarantine stream"; "error" => %err);
+            time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// Tells whether this instance is a keeper. One that does not know the list yet is none.
-fn is_keeper(shared: &Shared) -> bool {
-    let knows_others = shared.listing.load().is_some();
-    knows_others && members::rank_of_all(shared, Duty::Quarantine) < KEEPERS
+/// Returns whether this instance is a writer. It is not until it has read the list of
+/// instances.
+fn is_writer(shared: &Shared) -> bool {
+    let has_listing = shared.listing.load().is_some();
+    has_listing && members::rank_of_all(shared, Duty::Quarantine) < WRITERS
 }
 
-/// Reads what is new on the log, and writes what is not there.
-async fn keep(shared: &Shared, keeper: &mut Keeper) -> Result<()> {
-    while let Some(page) = read(shared, keeper).await? {
-        take(shared, keeper, &page);
+/// Reads new records from the log, and writes those that are missing there.
+async fn synchronize(shared: &Shared, writer: &mut QuarantineWriter) -> Result<()> {
+    while let Some(page) = read(shared, writer).await? {
+        apply_page(shared, writer, &page);
     }
     let now_ms = shared.clock.now_ms();
-    for stored in shared.ends.to_write(now_ms, &keeper.renewal) {
+    for stored in shared.ends.records_to_write(now_ms, &writer.renewal) {
         write(shared, &stored).await?;
         info!(shared.log, "quarantine kept"; "digest" => %stored.digest,
             "ends" => stored.ends.len());
-        shared.ends.on_kept(&stored);
+        shared.ends.on_persisted(&stored);
     }
-    keeper.renewal.on_written(now_ms);
+    writer.renewal.on_written(now_ms);
     Ok(())
 }
 
-/// Reads the next page of the stream, if there is one now.
-async fn read(shared: &Shared, keeper: &mut Keeper) -> Result<Option<Records>> {
-    let cursor = keeper.cursor;
+/// Reads the next page of the stream, if one is available.
+async fn read(shared: &Shared, writer: &mut QuarantineWriter) -> Result<Option<Records>> {
+    let cursor = writer.cursor;
     let read = shared.platform.read(QUARANTINE_STREAM, cursor, 0).await;
     let page = match read {
         Err(PlatformError::Trimmed(first)) if first > cursor => {
-            keeper.cursor = first;
+            writer.cursor = first;
             let read = shared.platform.read(QUARANTINE_STREAM, first, 0);
             read.await?
         }
         read => read?,
     };
-    if page.has_gap(keeper.cursor) && keeper.gap_looks < GAP_LOOKS {
-        keeper.gap_looks += 1;
+    if page.has_gap(writer.cursor) && writer.gap_reads < MAX_GAP_READS {
+        writer.gap_reads += 1;
         return Ok(None);
     }
     Ok((!page.records.is_empty()).then_some(page))
 }
 
-/// Takes a whole page over in one step, so that none is passed over when the next one
-/// can't be read.
-fn take(shared: &Shared, keeper: &mut Keeper, page: &Records) {
+/// Applies a whole page in one step, so that no record is skipped if the next page can't
+/// be read.
+fn apply_page(shared: &Shared, writer: &mut QuarantineWriter, page: &Records) {
     let mut changes = Vec::new();
     for record in &page.records {
         match quarantine::decode_record(record) {
-            Ok(stored) => changes.push(keeper.records.add(stored)),
+            Ok(stored) => changes.push(writer.records.add(stored)),
             Err(err) => {
-                warn!(shared.log, "quarantined request not understood";
+                warn!(shared.log, "quarantine record could not be decoded";
                     "offset" => record.offset.0, "error" => %err);
             }
         }
-        keeper.cursor = keeper.cursor.max(record.offset.next());
+        writer.cursor = writer.cursor.max(record.offset.next());
     }
-    keeper.gap_looks = 0;
-    crashes::on_logged(shared, changes);
+    writer.gap_reads = 0;
+    crashes::on_log_changes(shared, changes);
     info!(shared.log, "quarantine read"; "records" => page.records.len(),
-        "next" => keeper.cursor.0);
+        "next" => writer.cursor.0);
 }
 
 async fn write(shared: &Shared, stored: &StoredCrashes) -> Result<()> {
--- a/crates/server/src/listing.rs
+++ b/crates/server/src/listing.rs
@@ -36,8 +36,8 @@
     shared.fleet().on_listed_leaving(&leaving);
     // The others may read the list much later.
     for backend in &leaving {
-        members::tell_backend_leaving(shared, backend);
+        members::announce_backend_leaving(shared, backend);
     }
-    members::take_list(shared, &listing);
+    members::apply_listing(shared, &listing);
     shared.listing.store(Some(Arc::new(listing)));
 }
--- a/crates/server/src/loads.rs
+++ b/crates/server/src/loads.rs
@@ -50,7 +50,7 @@
         return;
     }
     if report.state == ServingState::Leaving {
-        members::tell_backend_leaving(shared, backend);
+        members::announce_backend_leaving(shared, backend);
     }
     let mut fleet = shared.fleet();
     fleet.on_load_report(shared.clock.now_ms(), &report);
--- a/crates/server/src/members.rs
+++ b/crates/server/src/members.rs
@@ -1,4 +1,4 @@
-//! What this instance knows of the others, and its ties to them.
+//! Membership view of this instance, and its connections to peers.
 
 use std::{
     net::SocketAddr,
@@ -34,10 +34,10 @@
     sharing::{self, Sharing},
 };
 
-/// Time between two looks at who divides the quotas, in ms.
-const VIEW_MS: u64 = 1_000;
+/// Interval at which the membership view of the quotas is refreshed.
+const QUOTA_VIEW_INTERVAL_MS: u64 = 1_000;
 
-/// Knowledge of the other instances, and the connections to them.
+/// Membership of the instances, with the connections to peers and the quotas.
 #[derive(Debug)]
 pub(crate) struct Members {
     membership: Mutex<Membership>,
@@ -46,8 +46,8 @@
 }
 
 impl Members {
-    /// Creates the knowledge of an instance that serves peers at `addr`, and the
-    /// receiver of the peers to which a gossip stream has been opened.
+    /// Creates the membership of an instance that serves peers at `addr`. The
+    /// receiver gets each peer to which a gossip stream was opened.
     pub(crate) fn new(
         settings: &Settings,
         incarnation: Incarnation,
@@ -64,9 +64,9 @@
             zone: settings.zone.clone(),
             region: settings.region.clone(),
             addr,
-            started_at_s: unix_s(),
+            started_at_s: unix_time_s(),
         };
-        let (peers, linked) = PeerHandle::new(me, log);
+        let (peers, connected_peers) = PeerHandle::new(me, log);
         let (instance, zone) = (settings.instance.clone(), settings.zone.clone());
         let usage = Usage::new(0, instance, zone, incarnation);
         let members = Self {
@@ -74,10 +74,10 @@
             peers,
             sharing: Sharing::new(usage),
         };
-        (members, linked)
+        (members, connected_peers)
     }
 
-    /// Locks the knowledge of the others, for a few steps without waiting.
+    /// Locks the membership. The guard must not be held across an `await`.
     pub(crate) fn membership(&self) -> MutexGuard<'_, Membership> {
         lock(&self.membership)
     }
@@ -87,18 +87,18 @@
         &self.sharing
     }
 
-    /// Returns the way to send requests to peers.
+    /// Returns the handle that sends messages to peers.
     pub(crate) fn peers(&self) -> &PeerHandle {
         &self.peers
     }
 }
 
-/// Ticks for as long as the instance lives.
-pub(crate) async fn run(shared: Arc<Shared>, mut linked: mpsc::UnboundedReceiver<PeerId>) {
+/// Drives the membership and the quotas until the instance stops.
+pub(crate) async fn run(shared: Arc<Shared>, mut connected_peers: mpsc::UnboundedReceiver<PeerId>) {
     let mut ticks = time::interval(Duration::from_millis(TICK_MS));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut views = time::interval(Duration::from_millis(VIEW_MS));
-    views.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut view_refreshes = time::interval(Duration::from_millis(QUOTA_VIEW_INTERVAL_MS));
+    view_refreshes.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             _ = ticks.tick() => {
@@ -106,29 +106,29 @@
                 apply(&shared, Event::Tick);
                 sharing::tick(&shared);
             }
-            _ = views.tick() => sharing::renew_view(&shared),
-            Some(peer) = linked.recv() => {
-                crashes::on_linked(&shared, &peer.instance);
+            _ = view_refreshes.tick() => sharing::refresh_view(&shared),
+            Some(peer) = connected_peers.recv() => {
+                crashes::on_connected(&shared, &peer.instance);
                 apply(&shared, Event::PeerConnected(peer.instance));
             }
         }
     }
 }
 
-/// Ranks this instance for a duty among those of all zones that are listed and do not
-/// leave, 0 for the first.
+/// Returns the rank of this instance for a duty among the listed instances of all zones
+/// that are not leaving; 0 is the first.
 pub(crate) fn rank_of_all(shared: &Shared, duty: Duty<'_>) -> u64 {
     let me = &shared.settings.instance;
     let membership = shared.members.membership();
-    let live = membership.listed().iter().filter(|x| !x.is_leaving);
-    let others = live.map(|x| &x.instance).filter(|name| *name != me);
+    let active = membership.listed().iter().filter(|x| !x.is_leaving);
+    let others = active.map(|x| &x.instance).filter(|name| *name != me);
     let order = ranked(duty, others.chain([me]));
     let rank = order.iter().position(|name| *name == me);
     rank.map_or(u64::MAX, |rank| rank as u64)
 }
 
-/// Takes a new list of the platform's.
-pub(crate) fn take_list(shared: &Shared, listing: &Listing) {
+/// Applies a new list of the platform.
+pub(crate) fn apply_listing(shared: &Shared, listing: &Listing) {
     let entries = listing.entries.iter();
     let listed = entries
         .filter(|entry| entry.role == ListedRole::Entry)
@@ -141,29 +141,29 @@
     apply(shared, Event::Listed(listed.collect()));
 }
 
-/// Tells the other instances at once that this one leaves.
-pub(crate) fn tell_own_state(shared: &Shared) {
+/// Announces the state of this instance at once, such as that it is leaving.
+pub(crate) fn announce_own_state(shared: &Shared) {
     apply(shared, Event::OwnStateChanged(own_state(shared)));
 }
 
-/// Tells the other instances that a backend server says that it leaves.
-pub(crate) fn tell_backend_leaving(shared: &Shared, backend: &BackendName) {
+/// Announces to the other instances that a backend server reports that it is leaving.
+pub(crate) fn announce_backend_leaving(shared: &Shared, backend: &BackendName) {
     let leaver = Leaver::Backend(backend.clone());
     let notice = LeavingNotice { leaver, age_ms: 0 };
     apply(shared, Event::Leaving { from: None, notice });
 }
 
-/// Gives the knowledge of the others an event and does what follows.
+/// Applies an event to the membership and performs the resulting actions.
 pub(crate) fn apply(shared: &Shared, event: Event) {
     let now_ms = shared.clock.now_ms();
     let is_list = matches!(event, Event::Listed(_));
     let (actions, addrs) = {
         let mut membership = shared.members.membership();
         let actions = membership.on_event(now_ms, event);
-        let is_moved = is_list || actions.iter().any(|a| matches!(a, Action::ConnectTo(_)));
+        let has_new_addrs = is_list || actions.iter().any(|a| matches!(a, Action::ConnectTo(_)));
         (
             actions,
-            is_moved.then(|| membership.contacts().collect::<Vec<_>>()),
+            has_new_addrs.then(|| membership.contacts().collect::<Vec<_>>()),
         )
     };
     let peers = shared.members.peers();
@@ -171,24 +171,27 @@
         peers.set_addrs(addrs);
     }
     for action in actions {
-        act(shared, action);
+        perform(shared, action);
     }
 }
 
-fn act(shared: &Shared, action: Action) {
+fn perform(shared: &Shared, action: Action) {
     let peers = shared.members.peers();
     match action {
         Action::Send { to, gossip } => peers.send(&to, message(gossip)),
         Action::ConnectTo(contacts) => {
-            info!(shared.log, "neighbours chosen"; "count" => contacts.len());
-            peers.keep(&contacts);
+            info!(shared.log, "neighbours selected"; "count" => contacts.len());
+            peers.set_gossip_peers(&contacts);
         }
         Action::BackendLeaving(backend) => {
             info!(shared.log, "backend server is leaving"; "backend" => %backend);
             shared.fleet().on_leaving(&backend);
         }
         Action::Superseded => {
-            warn!(shared.log, "a newer run of this instance lives; leaving");
+            warn!(
+                shared.log,
+                "superseded by a newer incarnation of this instance; leaving"
+            );
             shared.phases.advance(Phase::Leaving);
         }
     }
@@ -219,7 +222,9 @@
     }
 }
 
-fn unix_s() -> u32 {
-    let age = SystemTime::now().duration_since(UNIX_EPOCH);
-    age.map_or(0, |age| u32::try_from(age.as_secs()).unwrap_or(u32::MAX))
+fn unix_time_s() -> u32 {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    since_epoch.map_or(0, |since_epoch| {
+        u32::try_from(since_epoch.as_secs()).unwrap_or(u32::MAX)
+    })
 }
--- a/crates/server/src/peer/error.rs
+++ b/crates/server/src/peer/error.rs
@@ -1,28 +1,28 @@
-//! Why a peer did not answer.
+//! Errors of messages to peers.
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a message to a peer got no answer.
+    /// Why a message to a peer got no valid response.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum PeerError {
         /// No address of the peer is known.
         NoAddress {
             display("no address known")
         }
-        /// The message did not leave; the peer did nothing.
+        /// The message was not sent; the peer did not process it.
         NotSent(reason: String) {
             display("not sent: {}", reason)
         }
-        /// Another run or another instance answers there; it did nothing.
+        /// Another incarnation or instance responded, which did not process the message.
         Misdirected {
             display("another instance or incarnation answers there")
         }
-        /// The message left and no answer came; the peer may have acted on it.
+        /// The message was sent without a response; the peer may have processed it.
         Unanswered(reason: String) {
             display("no answer: {}", reason)
         }
-        /// The answer makes no sense; the peer may have acted on the message.
+        /// The response is invalid; the peer may have processed the message.
         Malformed(reason: String) {
             display("malformed answer: {}", reason)
         }
@@ -30,7 +30,7 @@
 }
 
 impl PeerError {
-    /// Tells whether the peer is sure not to have acted on the message.
+    /// Returns whether the peer certainly did not process the message.
     pub fn is_nothing_done(&self) -> bool {
         match self {
             Self::NoAddress | Self::NotSent(_) | Self::Misdirected => true,
--- a/crates/server/src/peer/handle.rs
+++ b/crates/server/src/peer/handle.rs
@@ -1,5 +1,5 @@
-//! Sending to peers: one link for each, opened on demand, and a gossip stream to
-//! each of those that are kept.
+//! Sends messages to peers over one link per peer, opened on demand, with gossip
+//! streams to selected peers.
 
 use std::{
     collections::HashMap,
@@ -27,10 +27,10 @@
 };
 use crate::lock::lock;
 
-/// Messages that wait for a slow peer before further ones are dropped.
-const QUEUE: usize = 256;
-/// Longest pause before a gossip stream is opened again, in ms.
-const REOPEN_MS: u64 = 500;
+/// Number of messages queued for a slow peer before further ones are dropped.
+const GOSSIP_QUEUE_CAPACITY: usize = 256;
+/// Maximum delay before a gossip stream is reopened.
+const MAX_REOPEN_DELAY_MS: u64 = 500;
 
 /// Sends requests and gossip to peers. Clones share their connections.
 #[derive(Clone, Debug)]
@@ -67,8 +67,8 @@
 }
 
 impl PeerHandle {
-    /// Creates a handle that knows no peer, and the receiver of the peers to
-    /// which a gossip stream has been opened.
+    /// Creates a handle without peers. The receiver gets each peer to which a gossip
+    /// stream was opened.
     pub fn new(me: PeerId, log: Logger) -> (Self, mpsc::UnboundedReceiver<PeerId>) {
         let (linked, opened) = mpsc::unbounded_channel();
         let shared = Shared {
@@ -81,12 +81,13 @@
         (Self { shared }, opened)
     }
 
-    /// Returns the run that sends.
+    /// Returns the ID of the sender.
     pub fn me(&self) -> &PeerId {
         &self.shared.me
     }
 
-    /// Replaces what is known of the addresses of peers.
+    /// Replaces the addresses of peers. Links to removed or changed addresses are
+    /// dropped.
     pub fn set_addrs(&self, peers: impl IntoIterator<Item = Contact>) {
         let mut table = self.table();
         table.addrs = peers
@@ -102,8 +103,9 @@
         gossip.retain(|name, gossip| addrs.get(name) == Some(&gossip.link.addr()));
     }
 
-    /// Keeps a gossip stream to each of `peers` and to no other.
-    pub fn keep(&self, peers: &[Contact]) {
+    /// Maintains gossip streams to exactly these peers, as far as their addresses
+    /// are known.
+    pub fn set_gossip_peers(&self, peers: &[Contact]) {
         let mut table = self.table();
         table
             .gossip
@@ -112,40 +114,42 @@
             if table.gossip.contains_key(peer) {
                 continue;
             }
-            if let Some(link) = self.link_in(&mut table, peer) {
+            if let Some(link) = self.link_to(&mut table, peer) {
                 let gossip = self.spawn_gossip(link);
                 table.gossip.insert(peer.clone(), gossip);
             }
         }
     }
 
-    /// Sends a message one way. It is dropped when the peer is not kept or does
-    /// not take messages as fast as they come; gossip repeats itself.
+    /// Sends a one-way message. It is dropped if there is no gossip stream to the
+    /// peer or its queue is full, as gossip is repeated.
     pub fn send(&self, to: &InstanceName, message: Message) {
         let table = self.table();
-        let taken = table
+        let queued = table
             .gossip
             .get(to)
             .is_some_and(|gossip| gossip.queue.try_send(message).is_ok());
-        if !taken {
+        if !queued {
             metrics::counter!("savoryvane_peer_dropped_total").increment(1);
         }
     }
 
-    /// Sends a message one way to all peers that are kept, as [`send`](Self::send) does.
+    /// Sends a one-way message like [`send`](Self::send) to all peers with a gossip
+    /// stream.
     pub fn send_all(&self, message: &Message) {
-        let kept: Vec<InstanceName> = self.table().gossip.keys().cloned().collect();
-        for peer in kept {
+        let names: Vec<InstanceName> = self.table().gossip.keys().cloned().collect();
+        for peer in names {
             self.send(&peer, message.clone());
         }
     }
 
-    /// Sends a request to `to`, or only to its run `incarnation`, and waits at
-    /// most `timeout` for the answer.
+    /// Sends a request to `to`, or only to its incarnation `incarnation`, and waits
+    /// for the response for at most `timeout`.
     ///
     /// # Errors
     ///
-    /// [`PeerError::is_nothing_done`] tells whether the peer may have acted.
+    /// Fails without a valid response. [`PeerError::is_nothing_done`] returns whether
+    /// the peer certainly did not process the request.
     pub async fn request(
         &self,
         to: &InstanceName,
@@ -156,17 +160,18 @@
         let deadline = Instant::now() + timeout;
         let link = {
             let mut table = self.table();
-            self.link_in(&mut table, to).ok_or(PeerError::NoAddress)?
+            self.link_to(&mut table, to).ok_or(PeerError::NoAddress)?
         };
         link.request(incarnation, message, deadline).await
     }
 
-    /// Sends a request to whatever instance answers at the address of `contact`,
-    /// over a connection of its own, and waits at most `timeout` for the answer.
+    /// Sends a request to any instance at the address of `contact` over a new
+    /// connection, and waits for the response for at most `timeout`.
     ///
     /// # Errors
     ///
-    /// [`PeerError::is_nothing_done`] tells whether the peer may have acted.
+    /// Fails without a valid response. [`PeerError::is_nothing_done`] returns whether
+    /// the peer certainly did not process the request.
     pub async fn request_at(
         &self,
         contact: &Contact,
@@ -182,7 +187,7 @@
         lock(&self.shared.table)
     }
 
-    fn link_in(&self, table: &mut Table, peer: &InstanceName) -> Option<Arc<Link>> {
+    fn link_to(&self, table: &mut Table, peer: &InstanceName) -> Option<Arc<Link>> {
         if let Some(link) = table.links.get(peer) {
             return Some(Arc::clone(link));
         }
@@ -194,7 +199,7 @@
     }
 
     fn spawn_gossip(&self, link: Arc<Link>) -> Gossip {
-        let (queue, messages) = mpsc::channel(QUEUE);
+        let (queue, messages) = mpsc::channel(GOSSIP_QUEUE_CAPACITY);
         let shared = Arc::clone(&self.shared);
         let task = tokio::spawn(run_gossip(shared, Arc::clone(&link), messages));
         Gossip { link, queue, task }
@@ -208,15 +213,15 @@
         incarnation: shared.me.incarnation,
     });
     loop {
-        if let Err(err) = gossip_once(&shared, &link, &hello, &mut messages).await {
+        if let Err(err) = run_gossip_stream(&shared, &link, &hello, &mut messages).await {
             debug!(shared.log, "gossip stream closed"; "addr" => %link.addr(), "error" => %err);
         }
-        let pause_ms = random_range(REOPEN_MS / 4..=REOPEN_MS);
-        time::sleep(Duration::from_millis(pause_ms)).await;
+        let delay_ms = random_range(MAX_REOPEN_DELAY_MS / 4..=MAX_REOPEN_DELAY_MS);
+        time::sleep(Duration::from_millis(delay_ms)).await;
     }
 }
 
-async fn gossip_once(
+async fn run_gossip_stream(
     shared: &Shared,
     link: &Link,
     hello: &Message,
--- a/crates/server/src/peer/link.rs
+++ b/crates/server/src/peer/link.rs
@@ -1,5 +1,5 @@
-//! One `h2` connection towards one peer: dialled on demand, probed with PING,
-//! dropped when it goes quiet and never used again.
+//! One `h2` connection to one peer: established on demand, probed with PING, and
+//! replaced once it no longer responds.
 
 use std::{
     net::SocketAddr,
@@ -26,34 +26,34 @@
 
 use super::error::{PeerError, Result};
 
-/// Time for a connection to be made.
+/// Maximum time to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time between an answered PING and the next one.
+/// Time between the response to a PING and the next one.
 const PING_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Time for a PING to be answered.
+/// Maximum time for the response to a PING.
 const PING_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Pause after a first failure to connect; it doubles with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause after a failure to connect: one that is back is found within
-/// the second in which requests that wait for it can still be in time.
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
-/// Flow-control window of a stream and of a connection, in bytes.
+/// Delay after the first failure to connect; it doubles with each further one.
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(100);
+/// Maximum delay after a failure to connect. A peer that is reachable again is
+/// found within the second in which waiting requests can still meet their deadlines.
+const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(400);
+/// Flow-control window of a stream and of a connection.
 pub(crate) const WINDOW_BYTES: u32 = 2 * MAX_FRAME_BYTES as u32;
 
-/// One run of an instance.
+/// Identifies one incarnation of an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PeerId {
     /// Name of the instance.
     pub instance: InstanceName,
-    /// The run.
+    /// Incarnation of the instance.
     pub incarnation: Incarnation,
 }
 
-/// Connection towards one peer.
+/// Connection to one peer, established on demand.
 #[derive(Debug)]
 pub(crate) struct Link {
     me: PeerId,
-    /// Whom it is for; none takes any instance at the address.
+    /// Expected instance; `None` accepts any instance at the address.
     peer: Option<InstanceName>,
     addr: SocketAddr,
     state: Mutex<State>,
@@ -61,27 +61,27 @@
 
 #[derive(Debug, Default)]
 struct State {
-    open: Option<Open>,
+    open: Option<OpenConnection>,
     failures: u32,
     not_before: Option<Instant>,
 }
 
 #[derive(Clone, Debug)]
-struct Open {
+struct OpenConnection {
     sender: client::SendRequest<Bytes>,
-    is_quiet: Arc<AtomicBool>,
+    is_unresponsive: Arc<AtomicBool>,
 }
 
-/// A stream on which messages go to a peer one way.
+/// A stream of one-way messages to a peer.
 #[derive(Debug)]
 pub(crate) struct GossipStream {
     stream: SendStream<Bytes>,
-    /// The run that took the stream.
+    /// The peer that accepted the stream.
     pub(crate) peer: PeerId,
 }
 
 impl Link {
-    /// Creates a link that is not connected yet.
+    /// Creates an unconnected link to `peer`.
     pub(crate) fn new(me: PeerId, peer: InstanceName, addr: SocketAddr) -> Self {
         Self {
             me,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Creates a link to whatever instance answers at `addr`.
+    /// Creates an unconnected link to any instance at `addr`.
     pub(crate) fn to_any(me: PeerId, addr: SocketAddr) -> Self {
         Self {
             me,
@@ -101,17 +101,17 @@
         }
     }
 
-    /// Returns the address that it connects to.
+    /// Returns the address of the peer.
     pub(crate) fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Sends a request and waits for its answer until `deadline`.
+    /// Sends a request and waits for its response until `deadline`.
     ///
     /// # Errors
     ///
-    /// [`PeerError::NotSent`] and [`PeerError::Misdirected`] mean that the peer
-    /// did nothing; after any other error it may have acted on the request.
+    /// After [`PeerError::NotSent`] and [`PeerError::Misdirected`], the peer has not
+    /// processed the request; after any other error it may have.
     pub(crate) async fn request(
         &self,
         incarnation: Option<Incarnation>,
@@ -120,8 +120,8 @@
     ) -> Result<Message> {
         let frame = encode(message).map_err(|err| PeerError::NotSent(err.to_string()))?;
         let wait = deadline.saturating_duration_since(Instant::now());
-        let request = self.head(REQUEST_PATH, incarnation, wait)?;
-        let open = time::timeout_at(deadline, self.opened())
+        let request = self.request_head(REQUEST_PATH, incarnation, wait)?;
+        let open = time::timeout_at(deadline, self.connection())
             .await
             .map_err(|_| PeerError::NotSent("timeout while connecting".to_owned()))??;
         let exchange = exchange(open, request, frame.into());
@@ -134,10 +134,10 @@
     ///
     /// # Errors
     ///
-    /// Fails when the peer is not reached or is not the one that is meant.
+    /// Fails if the peer is unreachable or is not the expected one.
     pub(crate) async fn open_gossip(&self, hello: &Message) -> Result<GossipStream> {
-        let request = self.head(GOSSIP_PATH, None, CONNECT_TIMEOUT)?;
-        let open = self.opened().await?;
+        let request = self.request_head(GOSSIP_PATH, None, CONNECT_TIMEOUT)?;
+        let open = self.connection().await?;
         let mut sender = open.sender.ready().await.map_err(not_sent)?;
         let (response, stream) = sender.send_request(request, false).map_err(not_sent)?;
         let mut stream = GossipStream {
@@ -155,7 +155,7 @@
         Ok(stream)
     }
 
-    fn head(
+    fn request_head(
         &self,
         path: &'static str,
         incarnation: Option<Incarnation>,
@@ -176,7 +176,7 @@
             .map_err(|err| PeerError::NotSent(err.to_string()))
     }
 
-    async fn opened(&self) -> Result<Open> {
+    async fn connection(&self) -> Result<OpenConnection> {
         let mut state = self.state.lock().await;
         if let Some(open) = state.open.as_ref().filter(|open| open.is_usable()) {
             return Ok(open.clone());
@@ -193,34 +193,34 @@
                 Ok(open)
             }
             Err(err) => {
-                let pause = FIRST_PAUSE * 2u32.pow(state.failures.min(5));
+                let delay = MIN_RECONNECT_DELAY * 2u32.pow(state.failures.min(5));
                 state.failures += 1;
-                state.not_before = Some(Instant::now() + pause.min(LONGEST_PAUSE));
+                state.not_before = Some(Instant::now() + delay.min(MAX_RECONNECT_DELAY));
                 Err(err)
             }
         }
     }
 }
 
-impl Open {
+impl OpenConnection {
     fn is_usable(&self) -> bool {
-        !self.is_quiet.load(Ordering::Acquire)
+        !self.is_unresponsive.load(Ordering::Acquire)
     }
 }
 
 impl GossipStream {
-    /// Sends one message, waiting for room in the peer's window.
+    /// Sends one message, waiting for capacity in the peer's flow-control window.
     ///
     /// # Errors
     ///
-    /// Fails when the stream is closed.
+    /// Fails if the message can't be encoded or the stream is closed.
     pub(crate) async fn send(&mut self, message: &Message) -> Result<()> {
         let frame = encode(message).map_err(|err| PeerError::NotSent(err.to_string()))?;
         send_all(&mut self.stream, frame.into(), false).await
     }
 }
 
-async fn dial(addr: SocketAddr) -> Result<Open> {
+async fn dial(addr: SocketAddr) -> Result<OpenConnection> {
     let connected = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr))
         .await
         .map_err(|_| PeerError::NotSent("timeout while connecting".to_owned()))?;
@@ -233,23 +233,26 @@
         .handshake::<_, Bytes>(socket)
         .await
         .map_err(not_sent)?;
-    let is_quiet = Arc::new(AtomicBool::new(false));
-    let quiet = Arc::clone(&is_quiet);
+    let is_unresponsive = Arc::new(AtomicBool::new(false));
+    let quiet = Arc::clone(&is_unresponsive);
     let pings = connection.ping_pong();
     tokio::spawn(async move {
         tokio::select! {
             _ = connection => {}
-            () = until_quiet(pings) => {
+            () = until_unresponsive(pings) => {
                 metrics::counter!("savoryvane_peer_quiet_total").increment(1);
             }
         }
         quiet.store(true, Ordering::Release);
     });
-    Ok(Open { sender, is_quiet })
+    Ok(OpenConnection {
+        sender,
+        is_unresponsive,
+    })
 }
 
-/// Probes a connection for as long as it answers.
-pub(crate) async fn until_quiet(pings: Option<PingPong>) {
+/// Probes a connection with PINGs until one gets no response in time.
+pub(crate) async fn until_unresponsive(pings: Option<PingPong>) {
     let Some(mut pings) = pings else {
         return std::future::pending().await;
     };
@@ -261,7 +264,7 @@
     }
 }
 
-async fn exchange(open: Open, request: Request<()>, frame: Bytes) -> Result<Message> {
+async fn exchange(open: OpenConnection, request: Request<()>, frame: Bytes) -> Result<Message> {
     let mut sender = open.sender.ready().await.map_err(not_sent)?;
     let (response, mut stream) = sender.send_request(request, false).map_err(not_sent)?;
     send_all(&mut stream, frame, true).await?;
@@ -272,7 +275,7 @@
         .ok_or_else(|| PeerError::Malformed("no message that is known".to_owned()))
 }
 
-/// Sends bytes as the peer's window lets them through.
+/// Sends all bytes as capacity in the peer's flow-control window allows.
 pub(crate) async fn send_all(
     stream: &mut SendStream<Bytes>,
     mut bytes: Bytes,
@@ -280,18 +283,18 @@
 ) -> Result<()> {
     while !bytes.is_empty() {
         stream.reserve_capacity(bytes.len());
-        let room = std::future::poll_fn(|cx| stream.poll_capacity(cx))
+        let capacity_bytes = std::future::poll_fn(|cx| stream.poll_capacity(cx))
             .await
             .ok_or_else(|| PeerError::Unanswered("stream closed".to_owned()))?
             .map_err(unanswered)?;
-        let part = bytes.split_to(room.min(bytes.len()));
+        let chunk = bytes.split_to(capacity_bytes.min(bytes.len()));
         let is_last = end && bytes.is_empty();
-        stream.send_data(part, is_last).map_err(unanswered)?;
+        stream.send_data(chunk, is_last).map_err(unanswered)?;
     }
     Ok(())
 }
 
-/// Reads the one message of a body; none when its kind is not known.
+/// Reads the single message of a body; `None` if its kind is unknown.
 pub(crate) async fn read_message(mut body: RecvStream) -> Result<Option<Message>> {
     let mut reader = FrameReader::new();
     while let Some(bytes) = body.data().await {
@@ -309,7 +312,7 @@
     Err(PeerError::Malformed("body cut short".to_owned()))
 }
 
-/// Reads a run of an instance from two headers.
+/// Reads a peer ID from its two headers.
 pub(crate) fn read_peer(headers: &HeaderMap, name: &str, incarnation: &str) -> Option<PeerId> {
     let text = |value: &HeaderValue| value.to_str().ok().map(str::to_owned);
     let name = headers.get(name).and_then(text)?;
--- a/crates/server/src/peer/server.rs
+++ b/crates/server/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! Serving peers: gossip streams and requests on the listener for instances.
+//! Serves gossip streams and requests of peers on the listener for instances.
 
 use std::{
     future::{Future, poll_fn},
@@ -26,39 +26,39 @@
 
 use super::{
     error::{PeerError, Result},
-    link::{PeerId, WINDOW_BYTES, read_message, read_peer, send_all, until_quiet},
+    link::{PeerId, WINDOW_BYTES, read_message, read_peer, send_all, until_unresponsive},
 };
 
-/// Connections of peers open at the same time.
+/// Maximum number of open connections of peers.
 const MAX_CONNECTIONS: usize = 1_024;
-/// Streams open on one connection at the same time.
+/// Maximum number of concurrent streams on one connection.
 const MAX_STREAMS: u32 = 256;
-/// Time for the message of a request to arrive.
+/// Maximum time for a handshake or for the message of a request.
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest time that a request waits for its answer.
-const LONGEST_WAIT: Duration = Duration::from_secs(120);
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum time that a request waits for its response.
+const MAX_WAIT: Duration = Duration::from_secs(120);
+/// Delay after a failure to accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Answer to a request of a peer, in the making.
+/// Future of the response to a request of a peer.
 pub type PeerAnswer = Pin<Box<dyn Future<Output = Message> + Send>>;
 
-/// What takes the messages of peers.
+/// Handles the messages of peers.
 pub trait PeerHandler: Send + Sync + 'static {
-    /// Takes a message that came one way.
+    /// Handles a one-way message.
     fn on_gossip(&self, from: &PeerId, message: Message);
 
-    /// Answers a request, within `wait`.
+    /// Returns the response to a request within `wait`.
     fn on_request(&self, from: PeerId, message: Message, wait: Duration) -> PeerAnswer;
 }
 
 /// Serves peers on one listener.
 pub struct PeerServer<H> {
-    /// The run that serves.
+    /// ID of the server.
     pub me: PeerId,
-    /// What takes the messages.
+    /// Handler of the messages.
     pub handler: Arc<H>,
-    /// Where what goes wrong is noted.
+    /// Logger for errors.
     pub log: Logger,
 }
 
@@ -73,19 +73,19 @@
 }
 
 impl<H: PeerHandler> PeerServer<H> {
-    /// Serves every connection for as long as the task lives.
+    /// Accepts and serves connections until the task is dropped.
     pub async fn run(self, listener: TcpListener) {
-        let room = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+        let connection_slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
         loop {
             let socket = match listener.accept().await {
                 Ok((socket, _)) => socket,
                 Err(err) => {
-                    debug!(self.log, "peer not accepted"; "error" => %err);
-                    time::sleep(ACCEPT_PAUSE).await;
+                    debug!(self.log, "failed to accept a peer connection"; "error" => %err);
+                    time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
-            let Ok(permit) = Arc::clone(&room).try_acquire_owned() else {
+            let Ok(permit) = Arc::clone(&connection_slots).try_acquire_owned() else {
                 metrics::counter!("savoryvane_peer_refused_total").increment(1);
                 continue;
             };
@@ -111,12 +111,12 @@
             return Ok(());
         };
         let mut connection = connection?;
-        let quiet = until_quiet(connection.ping_pong());
-        tokio::pin!(quiet);
+        let unresponsive = until_unresponsive(connection.ping_pong());
+        tokio::pin!(unresponsive);
         loop {
             let accepted = tokio::select! {
                 accepted = connection.accept() => accepted,
-                () = &mut quiet => return Ok(()),
+                () = &mut unresponsive => return Ok(()),
             };
             let Some(accepted) = accepted else {
                 return Ok(());
@@ -141,29 +141,29 @@
         let Some(from) = read_peer(headers, FROM, FROM_INCARNATION) else {
             return self.refuse(&mut respond, StatusCode::BAD_REQUEST);
         };
-        if !self.is_meant(headers) {
+        if !self.is_addressed_here(headers) {
             return self.refuse(&mut respond, StatusCode::MISDIRECTED_REQUEST);
         }
         let wait = read_wait(headers);
         let path = request.uri().path().to_owned();
         match path.as_str() {
-            GOSSIP_PATH => self.take_gossip(from, request.into_body(), respond).await,
+            GOSSIP_PATH => self.serve_gossip(from, request.into_body(), respond).await,
             REQUEST_PATH => {
-                self.take_request(from, request.into_body(), wait, respond)
+                self.serve_request(from, request.into_body(), wait, respond)
                     .await
             }
             _ => self.refuse(&mut respond, StatusCode::NOT_FOUND),
         }
     }
 
-    async fn take_gossip(
+    async fn serve_gossip(
         &self,
         from: PeerId,
         mut body: RecvStream,
         mut respond: SendResponse<Bytes>,
     ) -> Result<()> {
-        // Dropping it would reset the stream.
-        let _open = self.respond(&mut respond, StatusCode::OK, false)?;
+        // Dropping the response stream would reset it.
+        let _response_stream = self.respond(&mut respond, StatusCode::OK, false)?;
         let mut reader = FrameReader::new();
         while let Some(bytes) = body.data().await {
             let bytes = bytes.map_err(|err| PeerError::Unanswered(err.to_string()))?;
@@ -182,7 +182,7 @@
         Ok(())
     }
 
-    async fn take_request(
+    async fn serve_request(
         &self,
         from: PeerId,
         body: RecvStream,
@@ -200,8 +200,8 @@
         let answer = match message {
             Some(message) => {
                 let answer = self.handler.on_request(from, message, wait);
-                // A sender that resets the stream has given up waiting, and what
-                // is done for it ends with the answer that is dropped here.
+                // A sender that resets the stream no longer waits. Its request is
+                // cancelled by dropping the future.
                 tokio::select! {
                     answer = answer => answer,
                     _ = poll_fn(|cx| respond.poll_reset(cx)) => return Ok(()),
@@ -216,7 +216,7 @@
         send_all(&mut stream, frame.into(), true).await
     }
 
-    fn is_meant(&self, headers: &HeaderMap) -> bool {
+    fn is_addressed_here(&self, headers: &HeaderMap) -> bool {
         let is = |name: &str, mine: &str| {
             headers
                 .get(name)
@@ -253,8 +253,8 @@
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.parse().ok());
     wait_ms
-        .map_or(LONGEST_WAIT, Duration::from_millis)
-        .min(LONGEST_WAIT)
+        .map_or(MAX_WAIT, Duration::from_millis)
+        .min(MAX_WAIT)
 }
 
 fn body_timeout() -> PeerError {
--- a/crates/server/src/peering.rs
+++ b/crates/server/src/peering.rs
@@ -1,4 +1,4 @@
-//! Which part of the instance takes which message of a peer.
+//! Dispatches the messages of peers to the modules that handle them.
 
 use std::{future, sync::Arc, time::Duration};
 
@@ -13,7 +13,7 @@
     relay, sharing, snapshot,
 };
 
-/// Hands messages of peers to the parts that they are for.
+/// Dispatches messages of peers to the modules that handle them.
 pub(crate) struct Peering {
     /// The instance.
     pub(crate) shared: Arc<Shared>,
@@ -24,7 +24,7 @@
         let from = from.instance.clone();
         let event = match message {
             Message::ConfigHead(head) => return relay::take_head(&self.shared, head),
-            Message::Ends(records) => return crashes::on_told(&self.shared, records),
+            Message::Ends(records) => return crashes::on_reports(&self.shared, records),
             Message::ConfigRecords(relayed) => return relay::take_records(&self.shared, relayed),
             Message::Digests(batch) => Event::Digests { from, batch },
             Message::Zones(zones) => Event::Zones { from, zones },
--- a/crates/server/src/runner.rs
+++ b/crates/server/src/runner.rs
@@ -146,7 +146,7 @@
 
     fn quarantine_event(&self) -> Option<Event> {
         let (request, digest) = (self.account.request(), self.account.digest());
-        let retry_after_ms = crashes::quarantined(&self.shared, request, &digest)?;
+        let retry_after_ms = crashes::check_quarantine(&self.shared, request, &digest)?;
         Some(Event::Quarantined { retry_after_ms })
     }
 
--- a/crates/server/src/sharing.rs
+++ b/crates/server/src/sharing.rs
@@ -1,4 +1,4 @@
-//! Workspace quotas as this instance uses them and shares them with the others.
+//! Enforces workspace quotas and shares usage reports with the other instances.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard},
@@ -21,48 +21,48 @@
     peer::{PeerAnswer, PeerId},
 };
 
-/// Time for a report to be answered, in ms.
-const TIMEOUT_MS: u64 = 800;
-/// Instances of another zone that are tried with one report.
-const LEAD_TRIES: usize = 2;
+/// Maximum time for the response to a report.
+const REPORT_TIMEOUT_MS: u64 = 800;
+/// Maximum number of instances of another zone that one report is sent to in turn.
+const MAX_LEAD_ATTEMPTS: usize = 2;
 
-/// Quotas of the workspaces.
+/// Workspace quotas, and the configuration offset that they were read at.
 #[derive(Debug)]
 pub(crate) struct Sharing {
     usage: Mutex<Usage>,
-    configured: Mutex<Option<Offset>>,
+    configured_offset: Mutex<Option<Offset>>,
 }
 
 impl Sharing {
-    /// Creates the quotas of an instance that has just started.
+    /// Creates the quotas of a starting instance.
     pub(crate) fn new(usage: Usage) -> Self {
         Self {
             usage: Mutex::new(usage),
-            configured: Mutex::default(),
+            configured_offset: Mutex::default(),
         }
     }
 
-    /// Locks the quotas, for a few steps without waiting.
+    /// Locks the quotas. The guard must not be held across an `await`.
     pub(crate) fn usage(&self) -> MutexGuard<'_, Usage> {
         lock(&self.usage)
     }
 
-    /// Notes the position of the configuration; tells whether it is another one.
-    fn begin_configuration(&self, next: Offset) -> bool {
-        let mut configured = lock(&self.configured);
-        configured.replace(next) != Some(next)
+    /// Stores the offset of the configuration and returns whether it changed.
+    fn replace_offset(&self, next: Offset) -> bool {
+        let mut configured_offset = lock(&self.configured_offset);
+        configured_offset.replace(next) != Some(next)
     }
 }
 
-/// Decides whether a request of a workspace is within its quota.
+/// Returns whether a request of a workspace is within its quota.
 pub(crate) fn admit(shared: &Shared, workspace: &WorkspaceName) -> Admission {
-    renew_quotas(shared);
+    refresh_quotas(shared);
     let now_ms = shared.clock.now_ms();
     shared.members.sharing().usage().admit(now_ms, workspace)
 }
 
-/// Takes over who the instances are.
-pub(crate) fn renew_view(shared: &Shared) {
+/// Updates the quotas and the fleet from the membership.
+pub(crate) fn refresh_view(shared: &Shared) {
     let (view, peers) = {
         let membership = shared.members.membership();
         let peers = membership.live().len().saturating_sub(1);
@@ -76,7 +76,7 @@
 
 /// Sends the reports that are due.
 pub(crate) fn tick(shared: &Arc<Shared>) {
-    renew_quotas(shared);
+    refresh_quotas(shared);
     let now_ms = shared.clock.now_ms();
     let (outgoing, age_ms) = {
         let mut usage = shared.members.sharing().usage();
@@ -90,7 +90,7 @@
     }
 }
 
-/// Answers a peer's report.
+/// Returns the response to a report of a peer.
 pub(crate) fn answer(shared: Arc<Shared>, from: PeerId, report: UsageReport) -> PeerAnswer {
     Box::pin(async move {
         let now_ms = shared.clock.now_ms();
@@ -108,15 +108,15 @@
     })
 }
 
-/// Only reports from other zones are passed on, and only once: another zone
-/// knows of this one no more than the platform's list says.
+/// Returns whether a report is relayed to its home. Only reports from other zones are
+/// relayed, and only once: another zone knows this zone only from the platform's list.
 fn is_relayed(shared: &Shared, from: &InstanceName, report: &UsageReport) -> bool {
     let is_own_zone = || shared.members.membership().is_in_zone(from);
     matches!(report.claimant, QuotaClaimant::Zone(_)) && !is_own_zone()
 }
 
 async fn relay(shared: &Shared, home: &InstanceName, report: UsageReport) -> Message {
-    let timeout = Duration::from_millis(TIMEOUT_MS / 2);
+    let timeout = Duration::from_millis(REPORT_TIMEOUT_MS / 2);
     let message = Message::UsageReport(report);
     let peers = shared.members.peers();
     let answer = peers.request(home, None, &message, timeout).await;
@@ -131,8 +131,8 @@
     };
     let claimant = report.claimant.clone();
     let message = Message::UsageReport(report);
-    let tries = targets.len().max(1) as u64;
-    let timeout = Duration::from_millis(TIMEOUT_MS / tries);
+    let attempts = targets.len().max(1) as u64;
+    let timeout = Duration::from_millis(REPORT_TIMEOUT_MS / attempts);
     for target in targets {
         let peers = shared.members.peers();
         match peers.request(&target, None, &message, timeout).await {
@@ -145,7 +145,7 @@
             Ok(_) => metrics::counter!("savoryvane_quota_declined_total").increment(1),
             Err(err) => {
                 metrics::counter!("savoryvane_quota_unanswered_total").increment(1);
-                debug!(shared.log, "report of demand not answered";
+                debug!(shared.log, "no response to usage report";
                     "peer" => %target, "error" => %err);
             }
         }
@@ -159,14 +159,14 @@
         .filter(|listed| listed.zone == *zone && !listed.is_leaving)
         .map(|listed| &listed.instance);
     let order = ranked(Duty::Home(shard), names);
-    order.into_iter().take(LEAD_TRIES).cloned().collect()
+    order.into_iter().take(MAX_LEAD_ATTEMPTS).cloned().collect()
 }
 
-/// Takes over the quotas when the configuration has changed.
-fn renew_quotas(shared: &Shared) {
+/// Applies the configured quotas if the configuration has changed.
+fn refresh_quotas(shared: &Shared) {
     let state = shared.configuration.state();
     let sharing = shared.members.sharing();
-    if !sharing.begin_configuration(state.next()) {
+    if !sharing.replace_offset(state.next()) {
         return;
     }
     let quotas = state.workspaces().map(|w| (&w.name, w.quota_per_s));
--- a/crates/server/src/suspects.rs
+++ b/crates/server/src/suspects.rs
@@ -1,5 +1,5 @@
-//! Logs and counts what becomes of requests that end servers, alike for pipelines and for
-//! what is forwarded.
+//! Logs and counts server crashes and the refusals that follow, for pipeline requests and
+//! forwarded requests alike.
 
 use savoryvane_core::{
     ids::RequestId,
@@ -7,12 +7,12 @@
 };
 use slog::{Logger, warn};
 
-/// Whose count of ends a refusal goes by.
+/// Source of the crash count that a refusal is based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CountedBy {
-    /// What this instance knew.
+    /// The crash records of this instance.
     Own,
-    /// What the instance that schedules told when it was asked.
+    /// The response of the scheduler.
     Scheduler,
 }
 
@@ -26,16 +26,16 @@
     }
 }
 
-/// Why a request was refused since servers ended under it.
+/// Why a request under which servers crashed was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Reason {
-    /// It is quarantined.
+pub(crate) enum RefusalReason {
+    /// The request is quarantined.
     Quarantined,
-    /// Another copy of it runs.
+    /// Another copy of the suspect is running.
     CopyRuns,
 }
 
-impl Reason {
+impl RefusalReason {
     /// Returns the name used in metrics.
     fn as_str(self) -> &'static str {
         match self {
@@ -45,20 +45,20 @@
     }
 }
 
-/// Counts a server that has ended.
-pub(crate) fn count_end(evidence: Evidence) {
+/// Counts a server crash.
+pub(crate) fn count_crash(evidence: Evidence) {
     metrics::counter!("savoryvane_server_ends_total", "evidence" => evidence.as_str()).increment(1);
 }
 
 /// Counts a refusal.
-pub(crate) fn count_refusal(reason: Reason) {
+pub(crate) fn count_refusal(reason: RefusalReason) {
     metrics::counter!("savoryvane_quarantine_refusals_total", "reason" => reason.as_str())
         .increment(1);
 }
 
-/// Logs and counts the refusal of a request that is quarantined, under which `ends` servers
-/// have ended.
-pub(crate) fn refused(
+/// Logs and counts the refusal of a quarantined request, under which `ends` servers have
+/// crashed.
+pub(crate) fn log_refusal(
     log: &Logger,
     request: &RequestId,
     digest: &RequestDigest,
@@ -69,5 +69,5 @@
     warn!(log, "quarantined request refused"; "request" => %request,
         "digest" => %digest, "ends" => ends, "ends_from" => counted_by.as_str(),
         "retry_after_ms" => retry_after_ms);
-    count_refusal(Reason::Quarantined);
+    count_refusal(RefusalReason::Quarantined);
 }
--- a/crates/server/tests/members_transport.rs
+++ b/crates/server/tests/members_transport.rs
@@ -169,7 +169,7 @@
         instance: "entry-2".into(),
         addr,
     }]);
-    handle.keep(&[Contact {
+    handle.set_gossip_peers(&[Contact {
         instance: "entry-2".into(),
         addr,
     }]);
