--- a/crates/server/src/calls.rs
+++ b/crates/server/src/calls.rs
@@ -149,7 +149,7 @@
         };
         // A server that is merely slow would have answered the first request first.
         if time::timeout(CANARY_TIMEOUT, canary).await.is_err() {
-            warn!(self.log, "connections have gone silent"; "backend" => %report.server);
+            warn!(self.log, "connections no longer respond"; "backend" => %report.server);
             metrics::counter!("savoryvane_severed_total").increment(1);
             self.connections.close_idle(addr);
             self.severed.notify(addr, started_at);
--- a/crates/server/src/crashes.rs
+++ b/crates/server/src/crashes.rs
@@ -208,5 +208,5 @@
     let state = shared.configuration.state();
     let others = state.backends();
     let others = others.filter(|other| other.zone == backend.zone && other.name != backend.name);
-    sample_evenly(others.map(|other| other.addr), probing::NEIGHBOURS)
+    sample_evenly(others.map(|other| other.addr), probing::MAX_NEIGHBOURS)
 }
--- a/crates/server/src/follower.rs
+++ b/crates/server/src/follower.rs
@@ -1,5 +1,5 @@
-//! Drives the follower of the configuration: its clock, its reads of the log
-//! and its checkpoints.
+//! Drives the state machine that follows the configuration stream: its ticks, its reads
+//! of the log and its checkpoints.
 
 use std::{sync::Arc, time::Duration};
 
@@ -28,27 +28,28 @@
     snapshot,
 };
 
-/// Instances of a zone that follow the log for the others.
+/// Number of instances per zone that read the log on behalf of the others.
 const TAILERS: usize = 2;
-/// Ticks between two looks at what the other instances say of themselves.
-const LOOK_TICKS: u64 = 5;
+/// Ticks between two evaluations of the duties of this instance and of the offsets that
+/// other instances report.
+const MEMBER_CHECK_TICKS: u64 = 5;
 
-/// Follows the stream for as long as the instance lives.
-pub(crate) async fn run(shared: Arc<Shared>, mut asked: mpsc::UnboundedReceiver<Action>) {
+/// Follows the configuration stream until the instance stops.
+pub(crate) async fn run(shared: Arc<Shared>, mut requested: mpsc::UnboundedReceiver<Action>) {
     let mut ticks = time::interval(Duration::from_millis(TICK_MS));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut jobs = JoinSet::new();
-    let mut count = 0_u64;
+    let mut tick_count = 0_u64;
     loop {
         tokio::select! {
             _ = ticks.tick() => {
-                if count.is_multiple_of(LOOK_TICKS) {
-                    look_at_others(&shared);
+                if tick_count.is_multiple_of(MEMBER_CHECK_TICKS) {
+                    update_from_members(&shared);
                 }
-                count += 1;
+                tick_count += 1;
                 apply(&shared, Event::Tick);
             }
-            Some(action) = asked.recv() => {
+            Some(action) = requested.recv() => {
                 jobs.spawn(perform(Arc::clone(&shared), action));
             }
             Some(Ok(Some(event))) = jobs.join_next() => apply(&shared, event),
@@ -56,20 +57,20 @@
     }
 }
 
-/// Gives the follower an event and does what follows from it.
+/// Applies an event to the follower and handles the resulting actions.
 pub(crate) fn apply(shared: &Shared, event: Event) {
     let now_ms = shared.clock.now_ms();
     for action in shared.configuration.on_event(now_ms, event) {
-        act(shared, action);
+        handle_action(shared, action);
     }
     let progress = shared.configuration.progress(now_ms);
     if progress.has_started {
         shared.phases.advance(Phase::Serving);
     }
-    note_progress(shared, progress);
+    record_progress(shared, progress);
 }
 
-fn act(shared: &Shared, action: Action) {
+fn handle_action(shared: &Shared, action: Action) {
     match action {
         Action::Read { .. } | Action::QueryPeer { .. } | Action::WriteCheckpoint(_) => {
             shared.configuration.ask(action);
@@ -86,7 +87,7 @@
                 "change" => %id, "operator" => %operator, "result" => ?applied);
         }
         Action::Adopted { source, next } => {
-            info!(shared.log, "configuration taken over whole"; "source" => ?source,
+            info!(shared.log, "configuration replaced by a snapshot"; "source" => ?source,
                 "next" => next.0);
         }
     }
@@ -96,11 +97,11 @@
     match action {
         Action::Read { from, wait_ms } => Some(read(&shared, from, wait_ms).await),
         Action::QueryPeer { from } => {
-            let snapshot = snapshot::ask_peers(&shared, from).await;
+            let snapshot = snapshot::fetch_from_peers(&shared, from).await;
             Some(Event::Snapshot(snapshot.map(Box::new)))
         }
         Action::WriteCheckpoint(parts) => {
-            write_and_note(&shared, parts).await;
+            write_checkpoint(&shared, parts).await;
             Some(Event::CheckpointWritten)
         }
         Action::Relay { .. } | Action::Decided { .. } | Action::Adopted { .. } => None,
@@ -112,28 +113,28 @@
     match shared.platform.read(CONFIG_STREAM, from, wait_ms).await {
         Ok(records) => read_event(&shared.log, records),
         Err(PlatformError::Trimmed(first)) => {
-            warn!(shared.log, "configuration records are no longer kept";
+            warn!(shared.log, "configuration records have been trimmed";
                 "expected" => from.0, "first" => first.0);
             Event::Trimmed { first }
         }
         Err(err) => {
             metrics::counter!("savoryvane_log_read_errors_total").increment(1);
-            debug!(shared.log, "configuration stream not read"; "error" => %err);
+            debug!(shared.log, "failed to read the configuration stream"; "error" => %err);
             Event::ReadFailed
         }
     }
 }
 
-fn read_event(log: &Logger, answer: Records) -> Event {
-    let received = |record| received(log, record);
+fn read_event(log: &Logger, page: Records) -> Event {
+    let received = |record| to_received(log, record);
     Event::Read {
-        first: answer.first,
-        next: answer.next,
-        records: answer.records.iter().map(received).collect(),
+        first: page.first,
+        next: page.next,
+        records: page.records.iter().map(received).collect(),
     }
 }
 
-fn received(log: &Logger, record: &LogRecord) -> Received {
+fn to_received(log: &Logger, record: &LogRecord) -> Received {
     Received {
         offset: record.offset,
         age_ms: unix_ms().saturating_sub(record.appended_at_ms),
@@ -141,7 +142,7 @@
     }
 }
 
-/// Notes a payload that can't be decoded and passes over it.
+/// Converts a decoded record. Logs a payload that can't be decoded, which is skipped.
 pub(crate) fn content(
     log: &Logger,
     offset: Offset,
@@ -157,11 +158,11 @@
     }
 }
 
-async fn write_and_note(shared: &Shared, parts: Vec<CheckpointPart>) {
-    let count = parts.len();
+async fn write_checkpoint(shared: &Shared, parts: Vec<CheckpointPart>) {
+    let tick_count = parts.len();
     match write(shared, parts).await {
-        Ok(()) => info!(shared.log, "checkpoint written"; "parts" => count),
-        Err(err) => warn!(shared.log, "checkpoint not written"; "error" => %err),
+        Ok(()) => info!(shared.log, "checkpoint written"; "parts" => tick_count),
+        Err(err) => warn!(shared.log, "failed to write checkpoint"; "error" => %err),
     }
 }
 
@@ -175,7 +176,7 @@
     Ok(())
 }
 
-fn look_at_others(shared: &Shared) {
+fn update_from_members(shared: &Shared) {
     let checkpoint_rank = members::rank_of_all(shared, Duty::Checkpoint);
     let (duties, newest) = {
         let membership = shared.members.membership();
@@ -198,7 +199,7 @@
     }
 }
 
-fn note_progress(shared: &Shared, progress: Progress) {
+fn record_progress(shared: &Shared, progress: Progress) {
     let ignored = shared.configuration.ignored();
     metrics::gauge!("savoryvane_config_next_offset").set(progress.next.0 as f64);
     metrics::gauge!("savoryvane_config_cut_off").set(f64::from(u8::from(progress.is_cut_off)));
--- a/crates/server/src/gateway/crashes.rs
+++ b/crates/server/src/gateway/crashes.rs
@@ -165,7 +165,7 @@
     async fn probe(&self, server: &ServerEntry) -> (Probe, Probe) {
         let neighbours = || {
             let directory = self.view.directory();
-            let neighbours = directory.same_zone_servers(server, probing::NEIGHBOURS);
+            let neighbours = directory.same_zone_servers(server, probing::MAX_NEIGHBOURS);
             neighbours.into_iter().map(|other| other.addr).collect()
         };
         probing::probe(&self.servers, server.addr, neighbours).await
--- a/crates/server/src/listener.rs
+++ b/crates/server/src/listener.rs
@@ -227,7 +227,7 @@
 
 fn too_slow(stream: &SharedStream) {
     metrics::counter!("savoryvane_slow_connections_total").increment(1);
-    stream.write_last(TOO_SLOW);
+    stream.try_write_final(TOO_SLOW);
 }
 
 fn refuse(stream: TcpStream) {
--- a/crates/server/src/listing.rs
+++ b/crates/server/src/listing.rs
@@ -1,4 +1,5 @@
-//! Reads the platform's list, which lags, and keeps the newest one.
+//! Reads the platform's list of instances and backend servers, which lags, and stores the
+//! newest version.
 
 use std::{collections::HashSet, sync::Arc, time::Duration};
 
@@ -10,23 +11,23 @@
 
 use crate::{instance::Shared, members};
 
-/// Reads the list for as long as the instance lives.
+/// Reads the list until the instance stops.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let mut interval_ms = list_interval_ms(0);
     loop {
         match shared.platform.listing().await {
             Ok(listing) => {
                 interval_ms = list_interval_ms(listing.entries.len());
-                take(&shared, listing);
+                apply(&shared, listing);
             }
-            Err(err) => debug!(shared.log, "list of instances not read"; "error" => %err),
+            Err(err) => debug!(shared.log, "failed to read the list of instances"; "error" => %err),
         }
         let jittered_ms = random_range(interval_ms * 3 / 4..=interval_ms * 5 / 4);
         time::sleep(Duration::from_millis(jittered_ms)).await;
     }
 }
 
-fn take(shared: &Shared, listing: Listing) {
+fn apply(shared: &Shared, listing: Listing) {
     let leaving: HashSet<BackendName> = listing
         .entries
         .iter()
@@ -34,7 +35,7 @@
         .map(|entry| BackendName::new(&entry.name))
         .collect();
     shared.fleet().on_listed_leaving(&leaving);
-    // The others may read the list much later.
+    // Other instances may read the list much later.
     for backend in &leaving {
         members::announce_backend_leaving(shared, backend);
     }
--- a/crates/server/src/loads.rs
+++ b/crates/server/src/loads.rs
@@ -9,17 +9,17 @@
 
 use crate::{instance::Shared, members};
 
-/// Reads at the same time.
-const MAX_READS: usize = 64;
-/// Pools that have a gauge of their own.
+/// Maximum number of concurrent reads.
+const MAX_CONCURRENT_READS: usize = 64;
+/// Maximum number of pools with a queue gauge.
 const MAX_LABELLED_POOLS: usize = 64;
 
-/// Reads loads for as long as the instance lives.
+/// Reads loads until the instance stops.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let interval_ms = shared.settings.backends.load_interval_ms;
     loop {
         read_all(&shared).await;
-        show_queues(&shared);
+        record_queues(&shared);
         shared.backends.prune();
         shared.meters.upkeep();
         let jittered_ms = random_range(interval_ms * 3 / 4..=interval_ms * 5 / 4);
@@ -29,8 +29,8 @@
 
 async fn read_all(shared: &Arc<Shared>) {
     let mut reads = JoinSet::new();
-    for (backend, addr) in used(shared) {
-        if reads.len() >= MAX_READS {
+    for (backend, addr) in backends_in_use(shared) {
+        if reads.len() >= MAX_CONCURRENT_READS {
             reads.join_next().await;
         }
         let shared = Arc::clone(shared);
@@ -56,8 +56,8 @@
     fleet.on_load_report(shared.clock.now_ms(), &report);
 }
 
-/// Shows the calls running and waiting in each pool, as last reported.
-fn show_queues(shared: &Shared) {
+/// Exports the number of running and waiting calls of each pool, as last reported.
+fn record_queues(shared: &Shared) {
     let now_ms = shared.clock.now_ms();
     let mut queues = BTreeMap::new();
     for status in shared.fleet().statuses(now_ms) {
@@ -68,10 +68,11 @@
     }
 }
 
-fn used(shared: &Shared) -> Vec<(BackendName, SocketAddr)> {
+fn backends_in_use(shared: &Shared) -> Vec<(BackendName, SocketAddr)> {
     let state = shared.configuration.state();
-    let used: Vec<_> = shared.fleet().members().cloned().collect();
-    used.into_iter()
+    let backends_in_use: Vec<_> = shared.fleet().members().cloned().collect();
+    backends_in_use
+        .into_iter()
         .filter_map(|name| {
             let addr = state.backend(name.as_str())?.addr;
             Some((name, addr))
--- a/crates/server/src/orders.rs
+++ b/crates/server/src/orders.rs
@@ -1,4 +1,4 @@
-//! Hands orders to engines, each only while the placer's permit lasts.
+//! Sends orders to engines, each only while the placer's permit is valid.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -15,12 +15,12 @@
     settings::Backends,
 };
 
-/// Largest answer to an order, in bytes.
-const MAX_ANSWER_BYTES: usize = 64 * 1024;
-/// Idle connections that are kept to one engine.
+/// Maximum size of the reply to an order.
+const MAX_REPLY_BYTES: usize = 64 * 1024;
+/// Maximum number of idle connections to one engine.
 const MAX_IDLE: usize = 1;
 
-/// Client of the engines' order interface.
+/// Client of the order interface of engines.
 #[derive(Debug)]
 pub(crate) struct OrderClient {
     timeout: Duration,
@@ -28,7 +28,7 @@
 }
 
 impl OrderClient {
-    /// Creates a client whose orders end after `timeout_ms`.
+    /// Creates a client whose orders time out after `timeout_ms`.
     pub(crate) fn new(settings: &Backends, timeout_ms: u64) -> Self {
         let connections = Connections::new(ConnectionSettings {
             connect_timeout: Duration::from_millis(settings.connect_timeout_ms),
@@ -73,16 +73,16 @@
                 Err(SendError::Sent(_)) => return OrderResult::Unanswered,
             };
         let status = response.status();
-        let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES);
+        let body = Limited::new(response.into_body(), MAX_REPLY_BYTES);
         let Ok(body) = body.collect().await else {
             return OrderResult::Unanswered;
         };
         lease.release().await;
-        result(status, &body.to_bytes())
+        order_result(status, &body.to_bytes())
     }
 }
 
-fn result(status: StatusCode, body: &[u8]) -> OrderResult {
+fn order_result(status: StatusCode, body: &[u8]) -> OrderResult {
     match (status, serde_json::from_slice::<OrderReply>(body)) {
         (StatusCode::OK, Ok(reply)) if reply.applied => OrderResult::Applied {
             models: reply.models,
--- a/crates/server/src/peering.rs
+++ b/crates/server/src/peering.rs
@@ -23,9 +23,9 @@
     fn on_gossip(&self, from: &PeerId, message: Message) {
         let from = from.instance.clone();
         let event = match message {
-            Message::ConfigHead(head) => return relay::take_head(&self.shared, head),
+            Message::ConfigHead(head) => return relay::apply_head(&self.shared, head),
             Message::Ends(records) => return crashes::on_reports(&self.shared, records),
-            Message::ConfigRecords(relayed) => return relay::take_records(&self.shared, relayed),
+            Message::ConfigRecords(relayed) => return relay::apply_records(&self.shared, relayed),
             Message::Digests(batch) => Event::Digests { from, batch },
             Message::Zones(zones) => Event::Zones { from, zones },
             Message::Leaving(notice) => Event::Leaving {
@@ -54,8 +54,8 @@
                     Message::AnswerState(exclusive::run_forwarded(&shared, run).await)
                 });
             }
-            Message::ConfigRecordsQuery(query) => snapshot::answer_records(&self.shared, query),
-            Message::ConfigSnapshotQuery(query) => snapshot::answer(&self.shared, query),
+            Message::ConfigRecordsQuery(query) => snapshot::serve_records(&self.shared, query),
+            Message::ConfigSnapshotQuery(query) => snapshot::serve_part(&self.shared, query),
             _ => Message::Declined(Declined::Unsupported),
         };
         Box::pin(future::ready(answer))
--- a/crates/server/src/placement.rs
+++ b/crates/server/src/placement.rs
@@ -1,5 +1,5 @@
-//! Places models while this instance is the placer: reads what engines hold,
-//! orders what is missing, and shows operators the moves of a plan.
+//! Places models while this instance is the placer: reads the models loaded by engines,
+//! orders loads and unloads, and previews the moves of a plan for operators.
 
 use std::{
     collections::BTreeMap,
@@ -25,12 +25,12 @@
 
 use crate::{instance::Shared, lock::lock, orders::OrderClient, placer, settings::Settings};
 
-/// Time between two looks at all engines, in ms.
-const ROUND_MS: u64 = 1_000;
-/// Reports read at the same time.
-const MAX_READS: usize = 64;
+/// Interval between two placement rounds over all engines.
+const ROUND_INTERVAL_MS: u64 = 1_000;
+/// Maximum number of concurrent reads of reports.
+const MAX_CONCURRENT_READS: usize = 64;
 
-/// What the tasks of an instance share about placement.
+/// Placement state shared by the tasks of an instance.
 #[derive(Debug)]
 pub(crate) struct Placement {
     settings: PlacementSettings,
@@ -50,7 +50,7 @@
     }
 
     /// Counts a call that needs a model.
-    pub(crate) fn note_call(&self, model: &ModelName) {
+    pub(crate) fn count_call(&self, model: &ModelName) {
         let mut calls = self.calls();
         if let Some(count) = calls.get_mut(model) {
             *count += 1;
@@ -64,9 +64,9 @@
     }
 }
 
-/// Places models for as long as the instance lives, whenever it is the placer.
+/// Places models whenever this instance is the placer, until it stops.
 pub(crate) async fn run(shared: Arc<Shared>) {
-    let mut ticks = time::interval(Duration::from_millis(ROUND_MS));
+    let mut ticks = time::interval(Duration::from_millis(ROUND_INTERVAL_MS));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut reconciler = Reconciler::new(shared.placement.settings);
     loop {
@@ -91,27 +91,27 @@
         return;
     };
     let round = reconciler.round(now_ms, &layout, &permit);
-    show(shared, &round);
-    let mut sending = JoinSet::new();
+    record_round(shared, &round);
+    let mut pending_orders = JoinSet::new();
     for order in round.orders {
         let addr = state.backend(order.backend.as_str()).map(|x| x.addr);
         let shared = Arc::clone(shared);
-        sending.spawn(async move {
+        pending_orders.spawn(async move {
             let result = send(&shared, addr, &order).await;
             (order, result)
         });
     }
-    while let Some(sent) = sending.join_next().await {
+    while let Some(sent) = pending_orders.join_next().await {
         let Ok((order, result)) = sent else { continue };
         if let OrderResult::Fenced { highest_fence } = result {
-            placer::note_fenced(shared, highest_fence);
+            placer::on_fenced(shared, highest_fence);
         }
         reconciler.on_result(shared.clock.now_ms(), &order, &result);
     }
 }
 
-/// The permit is asked for again directly before the order. What comes between
-/// this check and the engine is what fencing numbers are for.
+/// Sends an order after checking the permit again. Fencing numbers cover a change of the
+/// placer between this check and the arrival at the engine.
 async fn send(shared: &Shared, addr: Option<SocketAddr>, order: &Order) -> OrderResult {
     let now_ms = shared.clock.now_ms();
     let permit = shared
@@ -141,7 +141,7 @@
     let mut reports = Vec::new();
     let names: Vec<BackendName> = layout.engines().cloned().collect();
     for name in names {
-        if reads.len() >= MAX_READS {
+        if reads.len() >= MAX_CONCURRENT_READS {
             reports.extend(reads.join_next().await);
         }
         let Some(addr) = state.backend(name.as_str()).map(|x| x.addr) else {
@@ -149,28 +149,29 @@
         };
         let shared = Arc::clone(shared);
         reads.spawn(async move {
-            // A report is never taken for newer than it is.
-            let asked_at_ms = shared.clock.now_ms();
+            // A report counts from the start of its request, so that it never appears
+            // newer than it is.
+            let requested_at_ms = shared.clock.now_ms();
             let report = shared.backends.load(addr).await?;
-            (report.server == name).then_some((asked_at_ms, report))
+            (report.server == name).then_some((requested_at_ms, report))
         });
     }
     while let Some(read) = reads.join_next().await {
         reports.push(read);
     }
-    for (asked_at_ms, report) in reports.into_iter().flatten().flatten() {
-        reconciler.on_report(asked_at_ms, &report);
+    for (requested_at_ms, report) in reports.into_iter().flatten().flatten() {
+        reconciler.on_report(requested_at_ms, &report);
     }
 }
 
-fn show(shared: &Shared, round: &Round) {
+fn record_round(shared: &Shared, round: &Round) {
     metrics::gauge!("savoryvane_placement_waiting").set(round.waiting as f64);
     for decision in &round.decisions {
-        show_decision(shared, decision);
+        record_decision(shared, decision);
     }
 }
 
-fn show_decision(shared: &Shared, decision: &PlacementDecision) {
+fn record_decision(shared: &Shared, decision: &PlacementDecision) {
     let (kind, reason) = (decision.kind.as_str(), decision.reason.as_str());
     metrics::counter!("savoryvane_placement_decisions_total", "kind" => kind, "reason" => reason)
         .increment(1);
@@ -181,8 +182,8 @@
         "demand_milli_slots" => decision.demand_milli_slots, "cost_ms" => decision.cost_ms);
 }
 
-/// Adds the moves that a plan would bring, by what engines report to this
-/// instance.
+/// Adds the moves that a plan would cause, based on the engine reports that this instance
+/// has.
 pub(crate) fn add_moves(shared: &Shared, state: &State, plan: &mut Plan) {
     let mut after = state.clone();
     after.apply(after.next(), &ConfigRecord::Change(plan.change.clone()));
--- a/crates/server/src/placement_settings.rs
+++ b/crates/server/src/placement_settings.rs
@@ -3,23 +3,23 @@
 use savoryvane_check::Fields;
 use savoryvane_core::{placement::PlacementSettings, placer::PlacerSettings};
 
-/// How models are placed.
+/// Settings of model placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// Time between two renewals of the placer on the log, in ms.
+    /// Interval at which the placer renews its term on the log, in ms.
     pub renewal_ms: u64,
-    /// Longest time that an order takes, in ms.
+    /// Maximum duration of an order, in ms.
     pub order_timeout_ms: u64,
-    /// Rate of the weight store, in MB a second.
+    /// Throughput of the weight store, in MB/s.
     pub store_mb_per_s: u64,
-    /// Loads that may be under way at the same time, over all zones.
+    /// Maximum number of concurrent loads in all zones together.
     pub loads_at_once: u64,
-    /// Models that one engine holds at most.
+    /// Maximum number of models loaded on one engine.
     pub models_per_engine: u64,
 }
 
 impl Placement {
-    /// Returns the times of the election.
+    /// Returns the settings of the election.
     pub(crate) fn election(&self) -> PlacerSettings {
         PlacerSettings {
             renewal_ms: self.renewal_ms,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns the settings of the decisions.
+    /// Returns the settings of placement decisions.
     pub(crate) fn policy(&self) -> PlacementSettings {
         let count = |number| usize::try_from(number).unwrap_or(usize::MAX);
         PlacementSettings {
--- a/crates/server/src/placer.rs
+++ b/crates/server/src/placer.rs
@@ -1,5 +1,5 @@
-//! Takes part in the election of the placer: follows its stream, stands up when
-//! it is this instance's turn and renews while it holds the term.
+//! Takes part in the election of the placer: follows its stream, claims the term when it
+//! is this instance's turn and renews the term while holding it.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard},
@@ -27,21 +27,21 @@
 
 use crate::{instance::Shared, lock::lock, members, phase::Phase, platform::PlatformError};
 
-/// Instances that follow the stream, to bound its readers.
-const FOLLOWERS: u64 = 4;
-/// Ticks between two looks at the own rank.
-const LOOK_TICKS: u64 = 10;
-/// Pause after a read that failed, in ms.
-const READ_PAUSE_MS: u64 = 500;
+/// Maximum number of candidates, which bounds the readers of the stream.
+const MAX_CANDIDATES: u64 = 4;
+/// Ticks between two evaluations of the role of this instance.
+const ROLE_CHECK_TICKS: u64 = 10;
+/// Delay after a failed read.
+const READ_RETRY_DELAY_MS: u64 = 500;
 
-/// This instance's part in the election.
+/// State of this instance in the election.
 #[derive(Debug)]
 pub(crate) struct Candidacy {
     placer: Mutex<Placer>,
 }
 
 impl Candidacy {
-    /// Creates the part of a run of an instance.
+    /// Creates the state of one incarnation of an instance.
     pub(crate) fn new(
         instance: InstanceName,
         incarnation: Incarnation,
@@ -53,12 +53,12 @@
         }
     }
 
-    /// Returns the leave to give orders; to be asked directly before each.
+    /// Returns the permit to send orders. It must be checked directly before each order.
     pub(crate) fn permit(&self, now_ms: u64) -> Option<Permit> {
         self.lock().permit(now_ms)
     }
 
-    /// Returns what operators see of the election.
+    /// Returns the view of the election for operators.
     pub(crate) fn view(&self, now_ms: u64) -> PlacerView {
         let placer = self.lock();
         let holder = placer.holder();
@@ -74,19 +74,19 @@
     }
 }
 
-/// Takes part for as long as the instance lives.
+/// Takes part in the election until the instance stops.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let mut ticks = time::interval(Duration::from_millis(TICK_MS));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut jobs = JoinSet::new();
-    let mut count = 0_u64;
+    let mut tick_count = 0_u64;
     loop {
         tokio::select! {
             _ = ticks.tick() => {
-                if count.is_multiple_of(LOOK_TICKS) {
-                    apply(&shared, &mut jobs, Event::RoleChanged(standing(&shared)));
+                if tick_count.is_multiple_of(ROLE_CHECK_TICKS) {
+                    apply(&shared, &mut jobs, Event::RoleChanged(election_role(&shared)));
                 }
-                count += 1;
+                tick_count += 1;
                 let event = match shared.phases.current() >= Phase::Leaving {
                     true => Event::Leave,
                     false => Event::Tick,
@@ -98,12 +98,12 @@
     }
 }
 
-/// Notes that an engine has seen a higher fencing number than the own.
-pub(crate) fn note_fenced(shared: &Shared, highest: u64) {
-    warn!(shared.log, "an engine has seen a newer placer's order"; "highest_fence" => highest);
+/// Handles an order that an engine rejected because it has seen a higher fencing number.
+pub(crate) fn on_fenced(shared: &Shared, highest: u64) {
+    warn!(shared.log, "order rejected: the engine has seen an order of a newer placer"; "highest_fence" => highest);
     let now_ms = shared.clock.now_ms();
     let fenced = Event::Fenced { highest };
-    // What follows is asked for again at the next tick.
+    // The next tick returns the resulting actions again.
     let _ = shared.candidacy.lock().on_event(now_ms, fenced);
 }
 
@@ -120,12 +120,12 @@
                 let shared = Arc::clone(shared);
                 jobs.spawn(async move { append(&shared, &record).await });
             }
-            Action::Changed(holder) => note_holder(shared, holder),
+            Action::Changed(holder) => on_holder_changed(shared, holder),
         }
     }
 }
 
-fn note_holder(shared: &Shared, holder: Option<Holder>) {
+fn on_holder_changed(shared: &Shared, holder: Option<Holder>) {
     let is_here = holder
         .as_ref()
         .is_some_and(|holder| holder.incarnation == shared.incarnation);
@@ -143,24 +143,24 @@
 async fn read(shared: &Shared, from: Offset, wait_ms: u64) -> Event {
     let wait_ms = wait_ms.min(shared.platform.wait_ms());
     match shared.platform.read(PLACER_STREAM, from, wait_ms).await {
-        Ok(answer) => Event::Read {
-            next: answer.next,
-            records: answer
+        Ok(page) => Event::Read {
+            next: page.next,
+            records: page
                 .records
                 .iter()
-                .map(|record| received(&shared.log, record))
+                .map(|record| to_received(&shared.log, record))
                 .collect(),
         },
         Err(PlatformError::Trimmed(first)) => Event::Trimmed { first },
         Err(err) => {
-            debug!(shared.log, "placer stream not read"; "error" => %err);
-            time::sleep(Duration::from_millis(READ_PAUSE_MS)).await;
+            debug!(shared.log, "failed to read the placer stream"; "error" => %err);
+            time::sleep(Duration::from_millis(READ_RETRY_DELAY_MS)).await;
             Event::ReadFailed
         }
     }
 }
 
-fn received(log: &Logger, record: &LogRecord) -> Received {
+fn to_received(log: &Logger, record: &LogRecord) -> Received {
     let decoded = placer::decode_record(record);
     if let Err(err) = &decoded {
         warn!(log, "placer record can't be decoded"; "offset" => record.offset.0,
@@ -176,17 +176,17 @@
     if let Ok(payload) = placer::encode(record) {
         let payload = Bytes::from(payload);
         if let Err(err) = shared.platform.append(PLACER_STREAM, payload).await {
-            // Whether it took effect shows when the stream is read.
-            debug!(shared.log, "placer record not confirmed"; "error" => %err);
+            // Reading the stream shows whether the append took effect.
+            debug!(shared.log, "append of placer record not confirmed"; "error" => %err);
         }
     }
     Event::AppendEnded
 }
 
-/// Tells what part this instance has: there is one placer for all zones.
-fn standing(shared: &Shared) -> ElectionRole {
+/// Returns the role of this instance. There is one placer for all zones.
+fn election_role(shared: &Shared) -> ElectionRole {
     match members::rank_of_all(shared, Duty::Placer) {
-        rank if rank < FOLLOWERS => ElectionRole::Candidate { rank },
+        rank if rank < MAX_CANDIDATES => ElectionRole::Candidate { rank },
         _ => ElectionRole::Observer,
     }
 }
--- a/crates/server/src/platform.rs
+++ b/crates/server/src/platform.rs
@@ -15,42 +15,42 @@
     settings::Platform,
 };
 
-/// Largest answer that is read, in bytes.
-const MAX_ANSWER_BYTES: usize = 32 << 20;
-/// Records asked for in one read: as many of the log's largest, in base64, fit
-/// one answer.
-const READ_LIMIT: u32 = 20;
-/// Idle connections kept to the platform.
+/// Maximum size of a response.
+const MAX_RESPONSE_BYTES: usize = 32 << 20;
+/// Maximum number of records in one read: this many records of the maximum size, in
+/// base64, fit in one response.
+const MAX_RECORDS_PER_READ: u32 = 20;
+/// Maximum number of idle connections to the platform.
 const MAX_IDLE: usize = 4;
 
 quick_error! {
-    /// Why the platform did not do what it was asked.
+    /// Why a request to the platform failed.
     #[derive(Debug)]
     pub enum PlatformError {
-        /// It was not reached; nothing took effect.
+        /// The platform was unreachable; nothing took effect.
         NotSent(reason: String) {
             display("not reached: {reason}")
         }
-        /// It was asked, and its answer was lost; it may have taken effect.
+        /// The request was sent and its response was lost; it may have taken effect.
         Unanswered(reason: String) {
             display("no answer: {reason}")
         }
-        /// It refused, and nothing took effect.
+        /// The response has an error status.
         Refused(status: StatusCode) {
             display("refused with {status}")
         }
-        /// The offset asked for is no longer kept.
+        /// The requested offset has been trimmed.
         Trimmed(first: Offset) {
             display("the first record kept is {first}")
         }
-        /// Its answer makes no sense.
+        /// The response is invalid.
         Malformed(reason: String) {
             display("malformed answer: {reason}")
         }
     }
 }
 
-/// Result of a call of the platform.
+/// Result of a request to the platform.
 pub(crate) type Result<T> = std::result::Result<T, PlatformError>;
 
 impl From<SendError> for PlatformError {
@@ -62,7 +62,7 @@
     }
 }
 
-/// Talks to the platform over connections of its own.
+/// Client of the platform with its own connection pool.
 #[derive(Clone, Debug)]
 pub(crate) struct PlatformClient {
     settings: Platform,
@@ -70,7 +70,7 @@
 }
 
 impl PlatformClient {
-    /// Creates a client of the services that `settings` names.
+    /// Creates a client of the services in `settings`.
     pub(crate) fn new(settings: Platform) -> Self {
         let connections = Connections::new(ConnectionSettings {
             connect_timeout: Duration::from_millis(settings.timeout_ms),
@@ -87,8 +87,8 @@
     ///
     /// # Errors
     ///
-    /// Only [`PlatformError::Unanswered`] and [`PlatformError::Malformed`]
-    /// leave it open whether the record is on the log.
+    /// After [`PlatformError::Unanswered`], [`PlatformError::Malformed`] or a status from
+    /// an intermediary, the record may be on the log.
     pub(crate) async fn append(&self, stream: &str, payload: Bytes) -> Result<Offset> {
         let path = format!("/v1/streams/{stream}/records");
         let request = request(Method::POST, self.settings.log, &path, payload);
@@ -100,14 +100,14 @@
         }
     }
 
-    /// Reads `stream` from `from` on, waiting up to `wait_ms` for a record.
+    /// Reads `stream` starting at `from`, waiting up to `wait_ms` for a record.
     ///
     /// # Errors
     ///
-    /// Returns [`PlatformError::Trimmed`] when `from` is no longer kept.
+    /// Returns [`PlatformError::Trimmed`] if `from` has been trimmed.
     pub(crate) async fn read(&self, stream: &str, from: Offset, wait_ms: u64) -> Result<Records> {
         let path = format!(
-            "/v1/streams/{stream}/records?from={from}&limit={READ_LIMIT}&wait_ms={wait_ms}"
+            "/v1/streams/{stream}/records?from={from}&limit={MAX_RECORDS_PER_READ}&wait_ms={wait_ms}"
         );
         let request = request(Method::GET, self.settings.log, &path, Bytes::new());
         let timeout = Duration::from_millis(wait_ms + self.settings.timeout_ms);
@@ -123,7 +123,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the list can't be had.
+    /// Fails if the list can't be fetched.
     pub(crate) async fn listing(&self) -> Result<Listing> {
         let request = request(
             Method::GET,
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Returns how long one read of the log waits for a record, in ms.
+    /// Returns how long a read of the log waits for a record, in ms.
     pub(crate) fn wait_ms(&self) -> u64 {
         self.settings.wait_ms
     }
@@ -151,10 +151,10 @@
         timeout: Duration,
     ) -> Result<(StatusCode, Bytes)> {
         let connections = &self.connections;
-        let answer = connections
-            .exchange(addr, request, timeout, MAX_ANSWER_BYTES)
+        let response = connections
+            .exchange(addr, request, timeout, MAX_RESPONSE_BYTES)
             .await?;
-        Ok((answer.status(), answer.into_body()))
+        Ok((response.status(), response.into_body()))
     }
 }
 
@@ -167,7 +167,7 @@
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = method;
-    // Paths are made of names and numbers, which are valid in a URI.
+    // Paths consist of names and numbers, which are valid in a URI.
     *request.uri_mut() = path.parse().unwrap_or_default();
     if let Ok(host) = addr.to_string().parse() {
         request.headers_mut().insert(header::HOST, host);
--- a/crates/server/src/prefixes.rs
+++ b/crates/server/src/prefixes.rs
@@ -1,5 +1,5 @@
-//! Reads which prompt prefixes the engines have cached. The events come late
-//! and with gaps; what is missed costs a hint and nothing else.
+//! Reads which prompt prefixes the engines have cached. Events arrive late and with gaps;
+//! a missed event costs only a routing hint.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -9,10 +9,10 @@
 
 use crate::instance::Shared;
 
-/// Time between two reads, in ms.
-const INTERVAL_MS: u64 = 1_000;
+/// Interval between two reads.
+const READ_INTERVAL_MS: u64 = 1_000;
 
-/// Reads cache events for as long as the instance lives.
+/// Reads cache events until the instance stops.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let mut cursors = HashMap::new();
     loop {
@@ -22,7 +22,7 @@
             let cursor = cursors.entry(engine.name.clone()).or_insert(0);
             *cursor = read(&shared, &engine, *cursor).await;
         }
-        let jittered_ms = random_range(INTERVAL_MS * 3 / 4..=INTERVAL_MS * 5 / 4);
+        let jittered_ms = random_range(READ_INTERVAL_MS * 3 / 4..=READ_INTERVAL_MS * 5 / 4);
         time::sleep(Duration::from_millis(jittered_ms)).await;
     }
 }
@@ -32,20 +32,20 @@
     addr: SocketAddr,
 }
 
-/// Takes in what is new at one engine; returns what to ask for next.
+/// Applies the new cache events of one engine and returns the next sequence number to read.
 async fn read(shared: &Shared, engine: &Engine, from: u64) -> u64 {
-    let Some(news) = shared.backends.cache_events(engine.addr, from).await else {
+    let Some(page) = shared.backends.cache_events(engine.addr, from).await else {
         return from;
     };
     let mut fleet = shared.fleet();
-    for event in news.events {
+    for event in page.events {
         fleet.on_cache_event(&engine.name, event.prefix, event.cached);
     }
-    // An engine that restarted counts from the beginning again.
-    if news.next < from { 0 } else { news.next }
+    // An engine that restarted numbers its events from 0 again.
+    if page.next < from { 0 } else { page.next }
 }
 
-/// Lists the engines that this instance sends calls to.
+/// Returns the engines that this instance sends calls to.
 fn engines(shared: &Shared) -> Vec<Engine> {
     let state = shared.configuration.state();
     let fleet = shared.fleet();
--- a/crates/server/src/probing.rs
+++ b/crates/server/src/probing.rs
@@ -1,4 +1,4 @@
-//! Tries whether a backend server whose connection was lost still listens.
+//! Probes whether a backend server whose connection was lost still listens.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -7,17 +7,17 @@
 
 use crate::connections::Connections;
 
-/// Time for attempts to connect while a caller waits: servers answer or refuse within some
-/// ms; one behind a partition is looked at later.
+/// Timeout of connection attempts while a caller waits. Servers accept or refuse within a
+/// few ms; a server behind a partition is checked later.
 pub(crate) const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
-/// Other servers of a zone that are tried beside the one whose connection was lost:
-/// copies of a request that were sent together end several at once.
-pub(crate) const NEIGHBOURS: usize = 4;
+/// Number of other servers in the zone that are probed besides the one whose connection
+/// was lost: copies of a request that were sent together crash several servers at once.
+pub(crate) const MAX_NEIGHBOURS: usize = 4;
 
-/// Tries to connect to a server and, where that fails, to some others of its availability
-/// zone, of which one is to be reached: more than one may have ended at this moment. A
-/// new connection takes some of a server's time, so that a server that is reached is the
-/// only one that is tried.
+/// Tries to connect to a server and, if that fails, to several others in its availability
+/// zone until one is reachable, as more than one may have crashed at the same moment. If
+/// the server is reachable, no others are tried, since a new connection costs a server
+/// time.
 pub(crate) async fn probe(
     connections: &Arc<Connections>,
     server: SocketAddr,
@@ -27,12 +27,12 @@
     if probe == Probe::Open {
         return (probe, Probe::Unknown);
     }
-    let mut probing = JoinSet::new();
+    let mut neighbour_probes = JoinSet::new();
     for addr in neighbours() {
         let connections = Arc::clone(connections);
-        probing.spawn(async move { connections.probe(addr).await });
+        neighbour_probes.spawn(async move { connections.probe(addr).await });
     }
-    while let Some(neighbour) = probing.join_next().await {
+    while let Some(neighbour) = neighbour_probes.join_next().await {
         if matches!(neighbour, Ok(Probe::Open)) {
             return (probe, Probe::Open);
         }
--- a/crates/server/src/relay.rs
+++ b/crates/server/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passes the configuration stream on between neighbours.
+//! Relays the configuration stream between neighbours.
 
 use savoryvane_core::config::{Content, Event, Head, Received};
 use savoryvane_wire::{
@@ -9,12 +9,12 @@
 
 use crate::{clock::unix_ms, follower, instance::Shared};
 
-/// Most bytes of records in one message.
+/// Maximum total size of the records in one message.
 const MAX_MESSAGE_BYTES: usize = 512 << 10;
-/// Most records in one message.
+/// Maximum number of records in one message.
 const MAX_MESSAGE_RECORDS: usize = 256;
 
-/// Passes the head and the records to every neighbour.
+/// Relays the head and the records to every neighbour.
 pub(crate) fn send(shared: &Shared, head: Head, records: &[Received]) {
     let neighbours = shared.members.membership().neighbours().to_vec();
     for message in messages(shared, head, records) {
@@ -24,15 +24,15 @@
     }
 }
 
-/// Takes a head that a neighbour passed on.
-pub(crate) fn take_head(shared: &Shared, head: ConfigHead) {
+/// Applies a head relayed by a neighbour.
+pub(crate) fn apply_head(shared: &Shared, head: ConfigHead) {
     let head = from_wire(head);
     let records = Vec::new();
     follower::apply(shared, Event::Relayed { head, records });
 }
 
-/// Takes records that a neighbour passed on.
-pub(crate) fn take_records(shared: &Shared, relayed: ConfigRecords) {
+/// Applies records relayed by a neighbour.
+pub(crate) fn apply_records(shared: &Shared, relayed: ConfigRecords) {
     let now_ms = unix_ms();
     let received = |record: RelayedRecord| Received {
         offset: record.offset,
@@ -44,7 +44,7 @@
     follower::apply(shared, Event::Relayed { head, records });
 }
 
-/// Splits what is passed on into messages of bounded size, in order.
+/// Splits the head and the records into messages of bounded size, in order.
 pub(crate) fn messages(shared: &Shared, head: Head, records: &[Received]) -> Vec<Message> {
     let head = to_wire(head);
     if records.is_empty() {
@@ -52,7 +52,7 @@
     }
     let mut batches: Vec<Vec<RelayedRecord>> = vec![Vec::new()];
     let mut bytes = 0;
-    for record in records.iter().map(|record| relayed(shared, record)) {
+    for record in records.iter().map(|record| to_relayed(shared, record)) {
         let batch = batches.last().map_or(0, Vec::len);
         bytes += record.payload.len();
         if batch > 0 && (bytes > MAX_MESSAGE_BYTES || batch >= MAX_MESSAGE_RECORDS) {
@@ -67,7 +67,7 @@
     batches.into_iter().map(message).collect()
 }
 
-fn relayed(shared: &Shared, record: &Received) -> RelayedRecord {
+fn to_relayed(shared: &Shared, record: &Received) -> RelayedRecord {
     RelayedRecord {
         offset: record.offset,
         appended_at_ms: unix_ms().saturating_sub(record.age_ms),
@@ -75,12 +75,13 @@
     }
 }
 
-/// What can't be decoded travels as an empty payload, which can't be either.
+/// Encodes a record. An undecodable record is relayed as an empty payload, which can't be
+/// decoded either.
 fn payload(shared: &Shared, record: &Received) -> Vec<u8> {
     match &record.content {
         Content::Undecodable => Vec::new(),
         Content::Record(content) => config::encode(content).unwrap_or_else(|err| {
-            warn!(shared.log, "configuration record not passed on";
+            warn!(shared.log, "configuration record not relayed";
                 "offset" => record.offset.0, "error" => %err);
             Vec::new()
         }),
--- a/crates/server/src/runner.rs
+++ b/crates/server/src/runner.rs
@@ -181,7 +181,7 @@
                     },
                 };
                 if let Some(model) = &call.model {
-                    self.shared.placement.note_call(model);
+                    self.shared.placement.count_call(model);
                 }
                 let server = backend.clone();
                 let destination = Destination {
--- a/crates/server/src/shared_stream.rs
+++ b/crates/server/src/shared_stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that can be written to after its connection was given up.
+//! TCP stream that can be written to after its connection was dropped.
 
 use std::{
     io,
@@ -12,7 +12,7 @@
     net::TcpStream,
 };
 
-/// One of several handles of a stream; it is closed with the last of them.
+/// Handle of a shared stream, which is closed when the last handle is dropped.
 #[derive(Clone, Debug)]
 pub(crate) struct SharedStream(Arc<TcpStream>);
 
@@ -22,9 +22,9 @@
         Self(Arc::new(stream))
     }
 
-    /// Writes a last few bytes, as far as there is room for them.
-    pub(crate) fn write_last(&self, bytes: &[u8]) {
-        // A peer that has gone does not miss them.
+    /// Writes a few final bytes, as far as the send buffer has space.
+    pub(crate) fn try_write_final(&self, bytes: &[u8]) {
+        // Errors are ignored: a closed peer does not need the bytes.
         let _ = self.0.try_write(bytes);
     }
 }
@@ -86,7 +86,7 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Closing is left to the last handle.
+    /// Does nothing: dropping the last handle closes the stream.
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
--- a/crates/server/src/snapshot.rs
+++ b/crates/server/src/snapshot.rs
@@ -1,5 +1,5 @@
-//! What instances ask each other for while the log does not help: the records
-//! that were missed, or the whole state.
+//! Configuration transfer between instances while the log is unavailable: missed records,
+//! or a snapshot of the whole state.
 
 use std::{cmp::Reverse, sync::Mutex, time::Duration};
 
@@ -16,14 +16,14 @@
 
 use crate::{instance::Shared, lock::lock, relay};
 
-/// Time for one part to arrive.
+/// Maximum time to fetch one part.
 const PART_TIMEOUT: Duration = Duration::from_millis(500);
-/// Peers that are asked one after another.
+/// Maximum number of peers queried in turn.
 const MAX_PEERS: usize = 4;
-/// Most parts of a state.
+/// Maximum number of parts of a state.
 const MAX_PARTS: u32 = 1_024;
 
-/// The state that was last asked for, in parts.
+/// Encoded parts of the state that was last requested.
 #[derive(Debug, Default)]
 pub(crate) struct SnapshotCache(Mutex<Option<Parts>>);
 
@@ -34,17 +34,20 @@
 }
 
 impl SnapshotCache {
-    /// Returns a part, of the state at `covers` if one is named, and how many
-    /// there are.
+    /// Returns a part and the number of parts, of the state at `covers` or of the
+    /// current state. `None` if that state is no longer available.
     fn part(&self, state: &State, covers: Option<Offset>, part: u32) -> Option<CachedPart> {
         let mut cached = lock(&self.0);
-        let wanted = covers.unwrap_or(state.next());
-        if cached.as_ref().is_none_or(|parts| parts.covers != wanted) {
-            if wanted != state.next() {
+        let wanted_offset = covers.unwrap_or(state.next());
+        if cached
+            .as_ref()
+            .is_none_or(|parts| parts.covers != wanted_offset)
+        {
+            if wanted_offset != state.next() {
                 return None;
             }
             *cached = Some(Parts {
-                covers: wanted,
+                covers: wanted_offset,
                 payloads: payloads(state)?,
             });
         }
@@ -69,8 +72,8 @@
     parts.map(encode).collect()
 }
 
-/// Answers a peer that asks for a part of the state.
-pub(crate) fn answer(shared: &Shared, query: ConfigSnapshotQuery) -> Message {
+/// Returns the response to a peer that queries a part of the state.
+pub(crate) fn serve_part(shared: &Shared, query: ConfigSnapshotQuery) -> Message {
     let progress = shared.configuration.progress(shared.clock.now_ms());
     let state = shared.configuration.state();
     let cached = shared.snapshots.part(&state, query.covers, query.part);
@@ -86,21 +89,22 @@
     }
 }
 
-/// Answers a peer that asks for the records that it missed.
-pub(crate) fn answer_records(shared: &Shared, query: ConfigRecordsQuery) -> Message {
+/// Returns the response to a peer that queries missed records.
+pub(crate) fn serve_records(shared: &Shared, query: ConfigRecordsQuery) -> Message {
     let now_ms = shared.clock.now_ms();
     let recent = shared.configuration.recent(now_ms, query.from);
-    // One message answers; what does not fit it is asked for again.
+    // The response is a single message; the peer queries the remaining records again.
     recent
         .and_then(|(head, records)| relay::messages(shared, head, &records).into_iter().next())
         .unwrap_or(Message::Declined(Declined::Absent))
 }
 
-/// Asks peers, the one first that reported the newest offset, for the records
-/// from `from` on, which are taken at once, or else for their state.
-pub(crate) async fn ask_peers(shared: &Shared, from: Option<Offset>) -> Option<Snapshot> {
+/// Queries peers for the records starting at `from`, which are applied at once, or else
+/// for a snapshot. Remote zones with newer offsets come first, then peers of the zone by
+/// the offset that they reported, newest first.
+pub(crate) async fn fetch_from_peers(shared: &Shared, from: Option<Offset>) -> Option<Snapshot> {
     for peer in peers(shared) {
-        match ask_peer(shared, &peer, from).await {
+        match fetch_from_peer(shared, &peer, from).await {
             Ok(snapshot) => return snapshot,
             Err(reason) => {
                 debug!(shared.log, "no configuration from a peer"; "peer" => %peer,
@@ -111,29 +115,25 @@
     None
 }
 
-async fn ask_peer(
+async fn fetch_from_peer(
     shared: &Shared,
     peer: &InstanceName,
     from: Option<Offset>,
 ) -> Result<Option<Snapshot>, String> {
     if let Some(from) = from
-        && take_records_of(shared, peer, from).await?
+        && fetch_records(shared, peer, from).await?
     {
         return Ok(None);
     }
-    fetch_from(shared, peer).await.map(Some)
+    fetch_snapshot(shared, peer).await.map(Some)
 }
 
-async fn take_records_of(
-    shared: &Shared,
-    peer: &InstanceName,
-    from: Offset,
-) -> Result<bool, String> {
+async fn fetch_records(shared: &Shared, peer: &InstanceName, from: Offset) -> Result<bool, String> {
     let query = Message::ConfigRecordsQuery(ConfigRecordsQuery { from });
     let peers = shared.members.peers();
     match peers.request(peer, None, &query, PART_TIMEOUT).await {
         Ok(Message::ConfigRecords(records)) => {
-            relay::take_records(shared, records);
+            relay::apply_records(shared, records);
             Ok(true)
         }
         Ok(_) => Ok(false),
@@ -144,45 +144,47 @@
 fn peers(shared: &Shared) -> Vec<InstanceName> {
     let membership = shared.members.membership();
     let members = membership.members(shared.clock.now_ms());
-    let mut near: Vec<_> = members
+    let mut zone_peers: Vec<_> = members
         .map(|(name, member, _)| (Member::digest(member).map(|x| x.config_next), name))
         .collect();
-    near.sort_by_key(|(next, _)| Reverse(*next));
-    let known = near.iter().map(|(next, _)| *next).max().flatten();
-    let far = membership.listed().iter().filter(|listed| {
+    zone_peers.sort_by_key(|(next, _)| Reverse(*next));
+    let newest_in_zone = zone_peers.iter().map(|(next, _)| *next).max().flatten();
+    let remote_peers = membership.listed().iter().filter(|listed| {
         let zone = membership.zones().get(&listed.zone);
-        let newest = zone.map(|zone| zone.digest().config_max);
-        listed.zone != shared.settings.zone && newest > known
+        let zone_newest = zone.map(|zone| zone.digest().config_max);
+        listed.zone != shared.settings.zone && zone_newest > newest_in_zone
     });
-    let far = far.map(|listed| &listed.instance).take(MAX_PEERS / 2);
-    let ordered = far.chain(near.iter().map(|(_, name)| *name));
+    let remote_peers = remote_peers
+        .map(|listed| &listed.instance)
+        .take(MAX_PEERS / 2);
+    let ordered = remote_peers.chain(zone_peers.iter().map(|(_, name)| *name));
     ordered.take(MAX_PEERS).cloned().collect()
 }
 
-async fn fetch_from(shared: &Shared, peer: &InstanceName) -> Result<Snapshot, String> {
+async fn fetch_snapshot(shared: &Shared, peer: &InstanceName) -> Result<Snapshot, String> {
     let mut assembler = Assembler::new();
     let mut covers = None;
     for part in 0..MAX_PARTS {
-        let answered = ask(shared, peer, ConfigSnapshotQuery { covers, part }).await?;
-        covers = Some(answered.covers);
-        let record = config::decode(&answered.payload).map_err(|err| err.to_string())?;
+        let response = request_part(shared, peer, ConfigSnapshotQuery { covers, part }).await?;
+        covers = Some(response.covers);
+        let record = config::decode(&response.payload).map_err(|err| err.to_string())?;
         let ConfigRecord::Checkpoint(decoded) = record else {
             return Err("not a part of a checkpoint".to_owned());
         };
-        match assembler.add(answered.covers, decoded) {
+        match assembler.add(response.covers, decoded) {
             Assembly::Complete(state) => {
-                let age_ms = Some(answered.age_ms).filter(|age_ms| *age_ms != u64::MAX);
+                let age_ms = Some(response.age_ms).filter(|age_ms| *age_ms != u64::MAX);
                 let state = *state;
                 return Ok(Snapshot { state, age_ms });
             }
-            Assembly::Incomplete if part + 1 < answered.parts => {}
+            Assembly::Incomplete if part + 1 < response.parts => {}
             other => return Err(format!("{other:?}")),
         }
     }
     Err("too many parts".to_owned())
 }
 
-async fn ask(
+async fn request_part(
     shared: &Shared,
     peer: &InstanceName,
     query: ConfigSnapshotQuery,
