--- a/crates/server/src/caller/head.rs
+++ b/crates/server/src/caller/head.rs
@@ -8,7 +8,7 @@
 use savoryvane_wire::caller;
 
 use crate::{
-    controller::Head, credential, exclusive::Warrant, http_body::NDJSON, refusal::Refusal,
+    controller::Head, credential, exclusive::DedupKey, http_body::NDJSON, refusal::Refusal,
 };
 
 /// Longest request id or idempotency key, in bytes.
@@ -56,15 +56,15 @@
 
 /// A request is run under a key or a ticket, not both: they know nothing of
 /// each other.
-fn warrant(headers: &HeaderMap) -> Result<Option<Warrant>, Refusal> {
+fn warrant(headers: &HeaderMap) -> Result<Option<DedupKey>, Refusal> {
     let key = token(headers, caller::IDEMPOTENCY_KEY)?.map(IdempotencyKey::new);
     let ticket = single(headers, caller::TICKET)?
         .map(|text| TicketId::parse(text).ok_or(Refusal::BadHeader(caller::TICKET)))
         .transpose()?;
     match (key, ticket) {
         (Some(_), Some(_)) => Err(Refusal::BadHeader(caller::TICKET)),
-        (Some(key), None) => Ok(Some(Warrant::Key(key))),
-        (None, ticket) => Ok(ticket.map(Warrant::Ticket)),
+        (Some(key), None) => Ok(Some(DedupKey::Key(key))),
+        (None, ticket) => Ok(ticket.map(DedupKey::Ticket)),
     }
 }
 
--- a/crates/server/src/controller.rs
+++ b/crates/server/src/controller.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     credential,
-    exclusive::{self, Warrant},
+    exclusive::{self, DedupKey},
     instance::{InFlight, Shared},
     phase::Phase,
     refusal::Refusal,
@@ -45,7 +45,7 @@
     /// Time that the caller gives the request, in ms.
     pub(crate) deadline_ms: Option<u64>,
     /// What it is run under when it may not be run twice.
-    pub(crate) warrant: Option<Warrant>,
+    pub(crate) warrant: Option<DedupKey>,
     /// Time at which the request arrived, in ms.
     pub(crate) arrived_at_ms: u64,
 }
--- a/crates/server/src/crashes.rs
+++ b/crates/server/src/crashes.rs
@@ -31,13 +31,13 @@
 
 /// Crash tracker of the requests sent_revision to this instance.
 #[derive(Debug)]
-pub(crate) struct Ends {
+pub(crate) struct SharedCrashTracker {
     tracker: Mutex<CrashTracker>,
     /// Sequence number of the next crash that this instance observes.
     next_sequence: AtomicU64,
 }
 
-impl Ends {
+impl SharedCrashTracker {
     pub(crate) fn new(settings: QuarantineSettings) -> Self {
         Self {
             tracker: Mutex::new(CrashTracker::new(settings)),
--- a/crates/server/src/exclusive.rs
+++ b/crates/server/src/exclusive.rs
@@ -37,7 +37,7 @@
 
 /// What makes sure that a request runs at most once.
 #[derive(Clone, Debug)]
-pub(crate) enum Warrant {
+pub(crate) enum DedupKey {
     /// The caller's idempotency key.
     Key(IdempotencyKey),
     /// A ticket.
@@ -62,7 +62,7 @@
 /// Spawns a task that handles a request, and returns its updates.
 pub(crate) fn start(
     shared: &Arc<Shared>,
-    warrant: Warrant,
+    dedup_key: DedupKey,
     spec: ExecutionSpec,
     account: Account,
     guard: InFlight,
@@ -77,17 +77,17 @@
         account,
     };
     shared.tasks.spawn(async move {
-        request.run(warrant, updates).await;
+        request.run(dedup_key, updates).await;
         drop(guard);
     });
     receiver
 }
 
 impl Request {
-    async fn run(self, warrant: Warrant, updates: mpsc::UnboundedSender<Update>) {
-        let resolution = match warrant {
-            Warrant::Key(key) => self.claim(key, &updates).await,
-            Warrant::Ticket(id) => self.redeem(id).await,
+    async fn run(self, dedup_key: DedupKey, updates: mpsc::UnboundedSender<Update>) {
+        let resolution = match dedup_key {
+            DedupKey::Key(key) => self.claim(key, &updates).await,
+            DedupKey::Ticket(id) => self.redeem(id).await,
         };
         self.log(&resolution);
         match resolution {
@@ -119,7 +119,7 @@
             "request" => %self.spec.request, "choice" => choice, "reason" => reason);
     }
 
-    fn grant(&self, grant: Grant, key: AnswerKey) -> Resolution {
+    fn start_run(&self, grant: Grant, key: AnswerKey) -> Resolution {
         let (pipeline, deadline_at_ms) = (self.spec.pipeline.clone(), self.spec.deadline_at_ms);
         let right = RunRight::new(&self.shared, grant, key, pipeline, deadline_at_ms);
         Resolution::Run(Arc::new(right))
--- a/crates/server/src/exclusive/claimed.rs
+++ b/crates/server/src/exclusive/claimed.rs
@@ -95,7 +95,9 @@
                 }
             };
             match decision {
-                Decision::Won => return self.grant(Grant::Claim(attempt), AnswerKey::Key(hash)),
+                Decision::Won => {
+                    return self.start_run(Grant::Claim(attempt), AnswerKey::Key(hash));
+                }
                 Decision::Join(first) => fetch = Some(self.fetch(first, key.clone(), hash)),
                 decision => {
                     claims.unsubscribe(attempt);
--- a/crates/server/src/exclusive/serving.rs
+++ b/crates/server/src/exclusive/serving.rs
@@ -10,7 +10,7 @@
 };
 use tokio::{sync::mpsc, time::Instant};
 
-use super::{Warrant, plain_answer, ticketed::ISSUER_UNRESPONSIVE};
+use super::{DedupKey, plain_answer, ticketed::ISSUER_UNRESPONSIVE};
 use crate::{
     answers::{AnswerKey, Found},
     caller::final_answer,
@@ -60,7 +60,7 @@
         credential: None,
         pipeline: run.pipeline,
         deadline_ms: Some(run.deadline_ms.max(1)),
-        warrant: Some(Warrant::Ticket(id)),
+        warrant: Some(DedupKey::Ticket(id)),
         arrived_at_ms: shared.clock.now_ms(),
     };
     let admitted = controller::admit(shared, head)?;
--- a/crates/server/src/exclusive/ticketed.rs
+++ b/crates/server/src/exclusive/ticketed.rs
@@ -40,7 +40,7 @@
             match registry.redeem(self.now_ms(), &id, &self.spec.workspace, self.fingerprint) {
                 // Registers the run while the registry is locked, so that every
                 // request that joins it finds it.
-                Redemption::Run => return self.grant(Grant::Ticket(id), key),
+                Redemption::Run => return self.start_run(Grant::Ticket(id), key),
                 Redemption::Join => Disposition::Join(None),
                 Redemption::Recorded(completion) => Disposition::Join(Some(completion)),
                 Redemption::Forward => Disposition::Forward,
@@ -101,7 +101,7 @@
                 }
             }
             Ok(_) => self.answer(Outcome::Unknown, ISSUER_UNRESPONSIVE),
-            Err(err) if err.is_nothing_done() => {
+            Err(err) if err.is_not_processed() => {
                 self.answer(Outcome::NotStarted, ISSUER_UNREACHABLE)
             }
             Err(_) => self.answer(Outcome::Unknown, ISSUER_UNRESPONSIVE),
--- a/crates/server/src/gateway/scheduler_watch.rs
+++ b/crates/server/src/gateway/scheduler_watch.rs
@@ -203,7 +203,7 @@
                     None
                 }
                 Err(err) => {
-                    if err.is_nothing_done() {
+                    if err.is_not_processed() {
                         choice.on_unreachable(now_ms, &instance);
                     } else {
                         choice.on_no_response(now_ms, &instance);
--- a/crates/server/src/instance.rs
+++ b/crates/server/src/instance.rs
@@ -34,9 +34,9 @@
     claims::{self, Claims},
     clock::Clock,
     configuration::Configuration,
-    crashes::Ends,
+    crashes::SharedCrashTracker,
     error::{Error, Result},
-    follower, keeping,
+    follower,
     listener::{self, Acceptor},
     listing, loads,
     lock::lock,
@@ -49,7 +49,7 @@
     placement::{self, Placement},
     placer::{self, Candidacy},
     platform::PlatformClient,
-    prefixes,
+    prefixes, quarantine_log,
     refusal::Refusal,
     settings::Settings,
     snapshot::SnapshotCache,
@@ -86,7 +86,7 @@
     /// Answers of such requests.
     pub(crate) answers: Answers,
     /// Which requests end backend servers.
-    pub(crate) ends: Ends,
+    pub(crate) ends: SharedCrashTracker,
     /// Client of the backend servers.
     pub(crate) backends: BackendClient,
     /// Part in the election of the placer.
@@ -291,7 +291,7 @@
         claims: Claims::new(&settings, incarnation, log.clone()),
         tickets: Tickets::new(&settings, incarnation),
         answers: Answers::default(),
-        ends: Ends::new(settings.quarantine),
+        ends: SharedCrashTracker::new(settings.quarantine),
         backends: BackendClient::new(settings.backends, log.clone()),
         candidacy: Candidacy::new(
             settings.instance.clone(),
@@ -349,7 +349,7 @@
     background.spawn(operators.run(admin, admin::service(Arc::clone(shared))));
     background.spawn(claims::read(Arc::clone(shared)));
     background.spawn(claims::append(Arc::clone(shared)));
-    background.spawn(keeping::run(Arc::clone(shared)));
+    background.spawn(quarantine_log::run(Arc::clone(shared)));
     background.spawn(listing::run(Arc::clone(shared)));
     background.spawn(loads::run(Arc::clone(shared)));
     background.spawn(prefixes::run(Arc::clone(shared)));
--- a/crates/server/src/peer/error.rs
+++ b/crates/server/src/peer/error.rs
@@ -31,7 +31,7 @@
 
 impl PeerError {
     /// Returns whether the peer certainly did not process the message.
-    pub fn is_nothing_done(&self) -> bool {
+    pub fn is_not_processed(&self) -> bool {
         match self {
             Self::NoAddress | Self::NotSent(_) | Self::Misdirected => true,
             Self::Unanswered(_) | Self::Malformed(_) => false,
--- a/crates/server/src/peer/handle.rs
+++ b/crates/server/src/peer/handle.rs
@@ -148,7 +148,7 @@
     ///
     /// # Errors
     ///
-    /// Fails without a valid response. [`PeerError::is_nothing_done`] returns whether
+    /// Fails without a valid response. [`PeerError::is_not_processed`] returns whether
     /// the peer certainly did not process the request.
     pub async fn request(
         &self,
@@ -170,7 +170,7 @@
     ///
     /// # Errors
     ///
-    /// Fails without a valid response. [`PeerError::is_nothing_done`] returns whether
+    /// Fails without a valid response. [`PeerError::is_not_processed`] returns whether
     /// the peer certainly did not process the request.
     pub async fn request_at(
         &self,
--- a/crates/server/tests/members_transport.rs
+++ b/crates/server/tests/members_transport.rs
@@ -136,7 +136,7 @@
     let (other, other_handler) = serve(id("entry-9", 2)).await;
     let handle = handle_to(other);
     let err = ask(&handle, None, &message).await.unwrap_err();
-    assert!(err.is_nothing_done());
+    assert!(err.is_not_processed());
     assert_eq!(handler.requests.load(Ordering::SeqCst), 0);
     assert_eq!(other_handler.requests.load(Ordering::SeqCst), 0);
 }
@@ -152,13 +152,13 @@
     let err = ask(&handle, None, &Message::Declined(Declined::Absent))
         .await
         .unwrap_err();
-    assert!(err.is_nothing_done());
+    assert!(err.is_not_processed());
     let (addr, _) = serve(id("entry-2", 2)).await;
     let timeout = Duration::from_millis(100);
     let late = handle_to(addr)
         .request(&"entry-2".into(), None, &head(), timeout)
         .await;
-    assert!(!late.unwrap_err().is_nothing_done());
+    assert!(!late.unwrap_err().is_not_processed());
 }
 
 #[tokio::test]
