--- a/crates/server/src/crashes.rs
+++ b/crates/server/src/crashes.rs
@@ -29,7 +29,7 @@
     suspects::{self, CountedBy},
 };
 
-/// Crash tracker of the requests sent_revision to this instance.
+/// Crash tracker of the requests known to this instance.
 #[derive(Debug)]
 pub(crate) struct SharedCrashTracker {
     tracker: Mutex<CrashTracker>,
