--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -1,8 +1,8 @@
 //! The callers' interface.
 //!
-//! `POST /v1/pipelines/{pipeline}/requests` with a JSON [`Submission`]; answers
-//! [`Answer`], or with `Accept: application/x-ndjson` one [`AnswerEvent`] a
-//! line. `POST /v1/tickets` answers 201 [`Ticket`].
+//! `POST /v1/pipelines/{pipeline}/requests` with a JSON [`Submission`]; returns
+//! [`Answer`], or with `Accept: application/x-ndjson` one [`AnswerEvent`] per
+//! line. `POST /v1/tickets` returns 201 [`Ticket`].
 
 pub use savoryvane_core::cost::StageUsage;
 use savoryvane_core::{ids::RequestId, outcome::Outcome};
@@ -12,17 +12,17 @@
 pub const AUTHORIZATION: &str = "authorization";
 /// Header that names the workspace.
 pub const WORKSPACE: &str = "x-workspace";
-/// Header with the caller's request id; one is made when it is absent.
+/// Header with the caller's request id; the instance generates one if it is absent.
 pub const REQUEST_ID: &str = "x-request-id";
-/// Header with the time that the caller gives the request, in ms.
+/// Header with the time limit that the caller sets for the request, in ms.
 pub const DEADLINE_MS: &str = "x-deadline-ms";
 /// Header with the caller's idempotency key.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// Header with a ticket from `POST /v1/tickets`.
 pub const TICKET: &str = "x-ticket";
-/// Header of an answer with its outcome.
+/// Response header with the outcome of the request.
 pub const OUTCOME: &str = "x-outcome";
-/// Header of an answer with the entry instance that answered.
+/// Response header with the name of the entry instance that answered.
 pub const INSTANCE: &str = "x-instance";
 
 /// Body of a request.
@@ -33,29 +33,29 @@
     pub input: serde_json::Value,
 }
 
-/// Body of an answer, whatever its outcome.
+/// Body of a response, for every outcome.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
-    /// Request that it answers.
+    /// Identifier of the request.
     pub request_id: RequestId,
     /// How the request ended.
     pub outcome: Outcome,
-    /// Why, for every outcome but `complete`.
+    /// Reason for every outcome except `complete`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
     /// Output of the last stage, for `complete`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub output: Option<serde_json::Value>,
-    /// When to come back, in ms; the `Retry-After` header has it in s.
+    /// Time after which to retry, in ms; the `Retry-After` header has it in seconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// Time and cost by stage.
+    /// Time and cost of each stage.
     #[serde(default)]
     pub stages: Vec<StageUsage>,
 }
 
-/// One line of a streamed answer. A stream that ends without `final` was cut
-/// off and is not an answer.
+/// One line of a streamed answer. A stream that ends without `final` is truncated
+/// and must not be used as an answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum AnswerEvent {
@@ -66,7 +66,7 @@
         /// Text of the token.
         text: String,
     },
-    /// The answer, as it would have been without streaming.
+    /// The whole answer, the same as without streaming.
     Final(Answer),
 }
 
@@ -75,6 +75,6 @@
 pub struct Ticket {
     /// Value for the `x-ticket` header.
     pub ticket: String,
-    /// Time that the ticket can be used, in ms.
+    /// Time for which the ticket is valid, in ms.
     pub valid_ms: u64,
 }
--- a/crates/wire/src/claims.rs
+++ b/crates/wire/src/claims.rs
@@ -13,44 +13,43 @@
 pub const VERSION: u8 = 1;
 /// Largest payload, in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 64 * 1024;
-/// Most entries of one payload.
+/// Maximum number of entries in one payload.
 pub const MAX_ENTRIES: usize = 1024;
 
 quick_error! {
-    /// Why a payload can't be read or written.
+    /// Why a payload can't be encoded or decoded.
     #[derive(Debug, PartialEq, Eq)]
     pub enum ClaimsError {
-        /// It is over a limit.
+        /// The payload exceeds a limit.
         TooLarge {
             display("claim batch is over its limit")
         }
-        /// It has another version, or none.
+        /// The payload has an unsupported version or none.
         Version(found: Option<u8>) {
             display("claim batch has version {:?}, expected {}", found, VERSION)
         }
-        /// It is not a batch.
+        /// The payload is not a batch.
         Malformed {
             display("claim batch is malformed")
         }
     }
 }
 
-/// Result of reading or writing a payload.
+/// Result of encoding or decoding a payload.
 pub type Result<T> = std::result::Result<T, ClaimsError>;
 
-fn config() -> impl bincode::config::Config {
+fn codec() -> impl bincode::config::Config {
     bincode::config::standard().with_limit::<MAX_PAYLOAD_BYTES>()
 }
 
-/// Writes a batch.
+/// Encodes a batch.
 ///
 /// # Errors
 ///
-/// Returns [`ClaimsError::TooLarge`] for a batch over the limits.
+/// Returns [`ClaimsError::TooLarge`] for a batch that exceeds the limits.
 pub fn encode(batch: &Batch) -> Result<Vec<u8>> {
-    check(batch)?;
-    let body =
-        bincode::serde::encode_to_vec(batch, config()).map_err(|_| ClaimsError::Malformed)?;
+    check_limits(batch)?;
+    let body = bincode::serde::encode_to_vec(batch, codec()).map_err(|_| ClaimsError::Malformed)?;
     if body.len() >= MAX_PAYLOAD_BYTES {
         return Err(ClaimsError::TooLarge);
     }
@@ -60,12 +59,12 @@
     Ok(payload)
 }
 
-/// Reads a batch, and nothing but a batch.
+/// Decodes a payload that holds exactly one batch.
 ///
 /// # Errors
 ///
-/// Returns a [`ClaimsError`] for a payload over the limits, of another version,
-/// or that is not exactly one batch.
+/// Returns a [`ClaimsError`] for a payload that exceeds the limits, has another
+/// version or is not exactly one batch.
 pub fn decode(payload: &[u8]) -> Result<Batch> {
     if payload.len() > MAX_PAYLOAD_BYTES {
         return Err(ClaimsError::TooLarge);
@@ -74,21 +73,21 @@
         Some((&VERSION, body)) => body,
         other => return Err(ClaimsError::Version(other.map(|(version, _)| *version))),
     };
-    let (batch, read): (Batch, usize) =
-        bincode::serde::decode_from_slice(body, config()).map_err(|_| ClaimsError::Malformed)?;
-    if read != body.len() {
+    let (batch, read_bytes): (Batch, usize) =
+        bincode::serde::decode_from_slice(body, codec()).map_err(|_| ClaimsError::Malformed)?;
+    if read_bytes != body.len() {
         return Err(ClaimsError::Malformed);
     }
-    check(&batch)?;
+    check_limits(&batch)?;
     Ok(batch)
 }
 
-/// Reads the batch of a record as the log returned it.
+/// Decodes the batch of a record that the log returned.
 ///
 /// # Errors
 ///
-/// Returns the errors of [`decode`], and [`ClaimsError::Malformed`] for what is
-/// not base64.
+/// Returns the errors of [`decode`], and [`ClaimsError::Malformed`] for a payload
+/// that is not base64.
 pub fn decode_record(record: &LogRecord) -> Result<Batch> {
     if record.payload.len() > MAX_PAYLOAD_BYTES * 2 {
         return Err(ClaimsError::TooLarge);
@@ -97,8 +96,8 @@
     decode(&payload.map_err(|_| ClaimsError::Malformed)?)
 }
 
-fn check(batch: &Batch) -> Result<()> {
-    let is_within = |entry: &Entry| match entry {
+fn check_limits(batch: &Batch) -> Result<()> {
+    let is_within_limits = |entry: &Entry| match entry {
         Entry::Done { completion, .. } => completion
             .answer
             .as_ref()
@@ -106,7 +105,7 @@
         Entry::Claim { instance, .. } => is_valid_name(instance.as_str()),
         Entry::Release { .. } => true,
     };
-    if batch.entries.len() <= MAX_ENTRIES && batch.entries.iter().all(is_within) {
+    if batch.entries.len() <= MAX_ENTRIES && batch.entries.iter().all(is_within_limits) {
         Ok(())
     } else {
         Err(ClaimsError::TooLarge)
--- a/crates/wire/src/config.rs
+++ b/crates/wire/src/config.rs
@@ -1,4 +1,4 @@
-//! Payloads of the configuration stream: JSON with a version.
+//! Payloads of the configuration stream: versioned JSON.
 
 use savoryvane_core::config::ConfigRecord;
 
@@ -9,7 +9,7 @@
 
 pub use crate::payload::Result;
 
-/// Version that this program writes, and the only one that it reads.
+/// Version that this program writes and the only one that it reads.
 pub const CONFIG_VERSION: u32 = 1;
 /// Largest payload, in bytes.
 pub const MAX_CONFIG_PAYLOAD_BYTES: usize = 257 * 1024;
@@ -26,8 +26,8 @@
 ///
 /// # Errors
 ///
-/// Returns `TooLarge` when the record does not fit a payload, and `Json` when
-/// it has no JSON form.
+/// Returns `TooLarge` when the record does not fit into a payload, and `Json` when
+/// it can't be serialised.
 pub fn encode(record: &ConfigRecord) -> Result<Vec<u8>> {
     FORMAT.encode(record)
 }
@@ -36,17 +36,17 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the payload is too large, of another version or not
+/// Returns an error when the payload is too large, has another version or is not
 /// the JSON of a record.
 pub fn decode(payload: &[u8]) -> Result<ConfigRecord> {
     FORMAT.decode(payload)
 }
 
-/// Decodes the payload of a record as the log returned it.
+/// Decodes the payload of a record that the log returned.
 ///
 /// # Errors
 ///
-/// Returns the errors of [`decode`], and `Base64` when the payload is not that.
+/// Returns the errors of [`decode`], and `Base64` when the payload is not base64.
 pub fn decode_record(record: &LogRecord) -> Result<ConfigRecord> {
     FORMAT.decode_record(record)
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,6 +1,5 @@
-//! Messages of savoryvane's interfaces: JSON towards callers, operators, the
-//! platform and backend servers, `bincode` between instances and on the claim
-//! stream.
+//! Messages of savoryvane's interfaces: JSON for callers, operators, the platform
+//! and backend servers, `bincode` between instances and in the claim stream.
 
 pub mod admin;
 pub mod backend;
--- a/crates/wire/src/payload.rs
+++ b/crates/wire/src/payload.rs
@@ -1,4 +1,4 @@
-//! Payloads of the streams of JSON records: a version and one record.
+//! Payloads of the JSON streams: a version and one record.
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 use quick_error::quick_error;
@@ -36,10 +36,10 @@
 /// Result of encoding or decoding.
 pub type Result<T> = std::result::Result<T, PayloadError>;
 
-/// What the payloads of one stream look like.
+/// Payload format of one stream.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Format {
-    /// Version that is written, and the only one that is read.
+    /// Version that is written and the only one that is read.
     pub(crate) version: u32,
     /// Largest payload, in bytes.
     pub(crate) max_bytes: usize,
@@ -62,8 +62,8 @@
     ///
     /// # Errors
     ///
-    /// Returns `TooLarge` when the record does not fit a payload, and `Json`
-    /// when it has no JSON form.
+    /// Returns `TooLarge` when the record does not fit into a payload, and `Json`
+    /// when it can't be serialised.
     pub(crate) fn encode<R: Serialize>(self, record: &R) -> Result<Vec<u8>> {
         let version = self.version;
         let payload = serde_json::to_vec(&Payload { version, record })?;
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the payload is too large, of another version or
+    /// Returns an error when the payload is too large, has another version or is
     /// not the JSON of a record.
     pub(crate) fn decode<R: DeserializeOwned>(self, payload: &[u8]) -> Result<R> {
         self.check_size(payload.len())?;
@@ -87,12 +87,12 @@
         Ok(record)
     }
 
-    /// Decodes the payload of a record as the log returned it.
+    /// Decodes the payload of a record that the log returned.
     ///
     /// # Errors
     ///
     /// Returns the errors of [`Format::decode`], and `Base64` when the payload
-    /// is not that.
+    /// is not base64.
     pub(crate) fn decode_record<R: DeserializeOwned>(self, record: &LogRecord) -> Result<R> {
         let encoded = record.payload.as_bytes();
         self.check_size(encoded.len() / 4 * 3)?;
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,14 +1,14 @@
 //! Messages between entry instances.
 //!
 //! A frame is a length (4 bytes, big-endian), a kind (2 bytes, big-endian) and a
-//! body of that length less two, encoded with `bincode`. A kind that is not known
-//! is skipped, so that a newer instance may send more kinds than an older one
-//! knows. A body may be longer than what is read of it, so that fields may be
-//! added at its end; any other change of a message takes a new kind.
+//! body of the length minus two bytes, encoded with `bincode`. The receiver skips
+//! unknown kinds, so that a newer instance may send kinds that an older one does
+//! not know. It ignores trailing bytes of a body, so that fields may be added at
+//! the end; any other change to a message needs a new kind.
 //!
-//! - `POST /peer/v1/gossip`: a request stream that stays open and carries frames
-//!   one way; [`Hello`] comes first.
-//! - `POST /peer/v1/request`: one frame each way.
+//! - `POST /peer/v1/gossip`: a long-lived request stream that carries frames in
+//!   one direction; [`Hello`] is the first.
+//! - `POST /peer/v1/request`: one frame in each direction.
 
 mod limits;
 mod poison;
@@ -36,28 +36,28 @@
 
 use limits::is_within_limits;
 
-/// Version of the protocol that this code speaks.
+/// Protocol version that this code implements.
 pub const PROTOCOL_VERSION: u16 = 1;
 /// Path of the gossip stream.
 pub const GOSSIP_PATH: &str = "/peer/v1/gossip";
-/// Path of requests.
+/// Path for requests.
 pub const REQUEST_PATH: &str = "/peer/v1/request";
 /// Header with the name of the sending instance.
 pub const FROM: &str = "x-from";
 /// Header with the sender's incarnation, as 16 hexadecimal digits.
 pub const FROM_INCARNATION: &str = "x-from-incarnation";
-/// Header with the name of the instance that is meant.
+/// Header with the name of the intended receiver.
 pub const TO: &str = "x-to";
-/// Header with the incarnation that is meant; another one refuses with 421.
+/// Header with the incarnation of the intended receiver; any other returns 421.
 pub const TO_INCARNATION: &str = "x-to-incarnation";
-/// Header with the time that the sender waits for the answer, in ms.
+/// Header with the time that the sender waits for the response, in ms.
 pub const WAIT_MS: &str = "x-wait-ms";
 
-/// Longest frame, its length field not counted.
+/// Longest frame, in bytes, without its length field.
 pub const MAX_FRAME_BYTES: usize = 1 << 20;
-/// Most entries of a list in a message.
+/// Maximum number of entries of a list in a message.
 pub const MAX_ENTRIES: usize = 16_384;
-/// Most bytes of a record, an input or an answer in a message.
+/// Largest record, input or answer in a message, in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 768 << 10;
 /// Longest request identifier, idempotency key or ticket, in bytes.
 pub const MAX_KEY_BYTES: usize = 256;
@@ -68,20 +68,20 @@
     bincode::config::standard().with_limit::<MAX_FRAME_BYTES>();
 
 quick_error! {
-    /// Why bytes are not a frame.
+    /// Why a frame can't be encoded or decoded.
     #[derive(Debug, PartialEq, Eq)]
     pub enum FrameError {
-        /// The length is over the limit or too short for a kind.
+        /// The length exceeds the limit or is too short for a kind.
         Length(bytes: usize) {
-            display("frame of {} bytes", bytes)
+            display("frame length of {} bytes is out of range", bytes)
         }
-        /// The body is not what its kind says.
+        /// The body does not decode as a message of its kind.
         Malformed(kind: u16) {
             display("malformed message of kind {}", kind)
         }
-        /// The message is well-formed but breaks a limit.
+        /// The message is well-formed but exceeds a limit.
         OverLimit(kind: u16) {
-            display("message of kind {} over its limits", kind)
+            display("message of kind {} exceeds its limits", kind)
         }
     }
 }
@@ -92,7 +92,7 @@
 /// Opens a gossip stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Highest version of the protocol that the sender speaks.
+    /// Highest protocol version that the sender supports.
     pub version: u16,
     /// Name of the sender.
     pub instance: InstanceName,
@@ -100,12 +100,12 @@
     pub incarnation: Incarnation,
 }
 
-/// Newest position of the configuration stream that the sender knows of.
+/// Newest position of the configuration stream that the sender knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigHead {
     /// Offset that the next append will get.
     pub next: Offset,
-    /// Time since the log said so, in ms.
+    /// Time since the log reported it, in ms.
     pub age_ms: u32,
 }
 
@@ -116,30 +116,30 @@
     pub offset: Offset,
     /// Time of the append by the log's clock, in ms since the Unix epoch.
     pub appended_at_ms: u64,
-    /// Payload as the log keeps it.
+    /// Payload as stored in the log.
     pub payload: Vec<u8>,
 }
 
 /// Records of the configuration stream, in the log's order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigRecords {
-    /// Newest position that the sender knows of.
+    /// Newest position that the sender knows.
     pub head: ConfigHead,
     /// Records without a gap.
     pub records: Vec<RelayedRecord>,
 }
 
-/// Asks for records of the configuration stream from an offset on.
+/// Requests the records of the configuration stream from an offset on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigRecordsQuery {
-    /// First offset that is wanted.
+    /// First offset to return.
     pub from: Offset,
 }
 
-/// Asks for one part of the receiver's configuration state.
+/// Requests one part of the receiver's configuration state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigSnapshotQuery {
-    /// Position of the state whose further parts are wanted; none for the first.
+    /// Position of the state whose next parts are requested; `None` for the first part.
     pub covers: Option<Offset>,
     /// Number of the part, from 0.
     pub part: u32,
@@ -154,36 +154,36 @@
     pub part: u32,
     /// Number of parts.
     pub parts: u32,
-    /// Time since the sender last heard that its state is the newest, in ms.
+    /// Time since the sender last learned that its state is the newest, in ms.
     pub age_ms: u64,
-    /// The part, as a checkpoint has it.
+    /// The part, encoded as in a checkpoint.
     pub payload: Vec<u8>,
 }
 
-/// Asks for the answer that was given under an idempotency key.
+/// Requests the answer stored under an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerQuery {
     /// Workspace of the key.
     pub workspace: WorkspaceName,
-    /// The key.
+    /// The idempotency key.
     pub key: IdempotencyKey,
-    /// Longest time to wait for a request in flight, in ms.
+    /// Maximum time to wait for a request in flight, in ms.
     pub wait_ms: u64,
 }
 
-/// What an instance knows of a request under a key or ticket.
+/// State of a request with an idempotency key or ticket on an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AnswerState {
-    /// It knows nothing of it.
+    /// The instance does not know the request.
     Absent,
-    /// It is still in flight.
+    /// The request is in flight.
     InFlight,
-    /// It ended; the JSON body of the answer.
+    /// The request has ended; holds the JSON body of the answer.
     Answered(Vec<u8>),
 }
 
-/// Asks the instance that issued a ticket to run its request, or for the answer
-/// when it has run.
+/// Requests that the instance that issued a ticket runs its request, or returns
+/// the answer if the request has already run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TicketRun {
     /// The ticket.
@@ -196,26 +196,26 @@
     pub request: RequestId,
     /// Time left for the request, in ms.
     pub deadline_ms: u64,
-    /// JSON of the request's body.
+    /// Body of the request, in JSON.
     pub body: Vec<u8>,
 }
 
-/// Claims that the receiver appends in its next batch. What became of them is
-/// read from the log, never from the answer.
+/// Claims that the receiver appends in its next batch. The sender learns the
+/// result from the log, never from the response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimAppend {
-    /// Claims in the form that the log keeps.
+    /// Claims, encoded as in the log.
     pub claims: Vec<Vec<u8>>,
 }
 
-/// Offset of the batch, as the log answered the append.
+/// Offset of the batch, as returned by the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimAppended {
     /// Offset of the batch's record.
     pub offset: Offset,
 }
 
-/// Says that a message was taken.
+/// Acknowledges a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Taken;
 
@@ -228,7 +228,7 @@
         }
 
         impl Message {
-            /// Returns the number that stands for the kind of message in a frame.
+            /// Returns the kind number of the message in a frame.
             pub fn kind(&self) -> u16 {
                 match self {
                     $(Self::$variant(_) => $number,)+
@@ -254,84 +254,84 @@
 messages! {
     /// Opens a gossip stream.
     1 Hello(Hello),
-    /// Digests of instances of the zone.
+    /// Digests of instances in the sender's zone.
     2 Digests(DigestBatch),
-    /// Says that something is leaving.
+    /// Announces that an instance or backend server is leaving.
     3 Leaving(LeavingNotice),
-    /// Accounts of other zones, or of the sender's to another zone.
+    /// Digests of other zones, or of the sender's zone when sent to another zone.
     4 Zones(Vec<ZoneDigest>),
-    /// Demand for workspaces; a request.
+    /// Reports the demand of workspaces; a request.
     5 UsageReport(UsageReport),
-    /// Answer to a report of demand.
+    /// Response to a usage report.
     6 UsageGrant(UsageGrant),
     /// Newest position of the configuration stream.
     7 ConfigHead(ConfigHead),
-    /// Records of the configuration stream, relayed or asked for.
+    /// Records of the configuration stream, relayed or sent in response to a query.
     8 ConfigRecords(ConfigRecords),
-    /// Asks for records; a request.
+    /// Requests configuration records; a request.
     9 ConfigRecordsQuery(ConfigRecordsQuery),
-    /// Asks for a part of the configuration state; a request.
+    /// Requests a part of the configuration state; a request.
     10 ConfigSnapshotQuery(ConfigSnapshotQuery),
-    /// Answer to that request.
+    /// Response to [`ConfigSnapshotQuery`].
     11 ConfigSnapshotPart(ConfigSnapshotPart),
-    /// Asks for an answer; a request.
+    /// Requests a stored answer; a request.
     12 AnswerQuery(AnswerQuery),
-    /// Answer to a query for an answer and to a run of a ticket.
+    /// Response to [`AnswerQuery`] and to [`TicketRun`].
     13 AnswerState(AnswerState),
-    /// Asks for a run of a ticket; a request.
+    /// Requests that the receiver runs the request of a ticket; a request.
     14 TicketRun(TicketRun),
     /// Claims to append in the receiver's next batch; a request.
     15 ClaimAppend(ClaimAppend),
-    /// Answer to that request.
+    /// Response to [`ClaimAppend`].
     16 ClaimAppended(ClaimAppended),
-    /// The receiver does not serve this request now.
+    /// Response of a receiver that does not serve the request now.
     17 Declined(Declined),
-    /// Stages of a request to schedule; a request.
+    /// Submits the stages of a pipeline request for scheduling; a request.
     18 StageSubmission(Submission),
-    /// Answer to that request, once they have ended.
+    /// Response to a stage submission, sent once the stages have ended.
     19 StageOutcome(StageOutcome),
-    /// Results of a request that are not needed any more; a request.
+    /// Releases the results of a pipeline request that are no longer needed; a request.
     20 StageRelease(RequestKey),
-    /// Answer to a request that needs no other.
+    /// Response without content.
     21 Taken(Taken),
-    /// Asks who schedules; a request.
+    /// Asks whether the receiver is a scheduler; a request.
     26 SchedulerQuery(SchedulerQuery),
-    /// Answer to that request.
+    /// Response to [`SchedulerQuery`].
     36 SchedulerState(SchedulerState),
-    /// Asks for routes and servers; a request.
+    /// Requests routes, servers and instances; a request.
     37 RoutingQuery(RoutingQuery),
-    /// Answer to that request.
+    /// Response to [`RoutingQuery`].
     38 RoutingState(RoutingState),
-    /// Tells of servers that ended under requests, and asks for others; a request.
+    /// Exchanges reports of servers that crashed while they ran requests; a request.
     30 CrashQuery(CrashQuery),
-    /// Answer to that request.
+    /// Response to [`CrashQuery`].
     31 CrashState(CrashState),
-    /// Asks for the permit to run a suspect; a request.
+    /// Requests a permit to run a suspect request; a request.
     32 PermitQuery(PermitQuery),
-    /// Answer to that request.
+    /// Response to [`PermitQuery`].
     33 PermitState(PermitState),
-    /// Gives a permit back; a request.
+    /// Returns a permit; a request.
     34 PermitReturn(PermitReturn),
-    /// Servers that ended under requests of pipelines.
+    /// Reports of servers that crashed while they ran requests.
     35 Ends(Vec<CrashReport>),
-    /// Tells of limits that servers name, and asks for others; a request.
+    /// Exchanges the rate limits that servers state; a request.
     39 LimitQuery(LimitQuery),
-    /// Answer to that request.
+    /// Response to [`LimitQuery`].
     40 LimitState(LimitState),
-    /// Asks for a grant to send to a server that names a limit; a request.
+    /// Requests a grant to send to a server that states a rate limit; a request.
     41 GrantQuery(GrantQuery),
-    /// Answer to that request.
+    /// Response to [`GrantQuery`].
     42 GrantState(GrantState),
 }
 
-/// Why a request gets no other answer.
+/// Why the receiver declines a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Declined {
-    /// The receiver does not have what is asked for.
+    /// The receiver does not have the requested item.
     Absent,
-    /// The receiver is not the one to ask.
+    /// The receiver is not responsible for the request.
     NotMine,
-    /// The receiver does not know the request.
+    /// The receiver does not support this kind of request.
     Unsupported,
 }
 
@@ -349,7 +349,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the message breaks a limit.
+/// Returns [`FrameError::OverLimit`] when the message exceeds a limit.
 pub fn encode(message: &Message) -> Result<Vec<u8>> {
     let kind = message.kind();
     let body = message.encode_body().ok_or(FrameError::OverLimit(kind))?;
@@ -364,7 +364,7 @@
     Ok(frame)
 }
 
-/// Collects bytes of a stream and takes whole messages off their front.
+/// Buffers the bytes of a stream and decodes complete messages from its front.
 #[derive(Debug, Default)]
 pub struct FrameReader {
     buffer: Vec<u8>,
@@ -372,31 +372,31 @@
 }
 
 impl FrameReader {
-    /// Creates a reader that has seen nothing.
+    /// Creates a reader with an empty buffer.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds bytes as they came off the stream.
+    /// Appends bytes received from the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns how many messages of unknown kind were skipped.
+    /// Returns the number of skipped messages of unknown kind.
     pub fn skipped(&self) -> u64 {
         self.skipped
     }
 
-    /// Tells whether every byte was taken, as it must be where a stream ends.
+    /// Returns whether all bytes are decoded, as they must be when a stream ends.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Takes the next whole message of a known kind.
+    /// Removes and returns the next complete message of a known kind.
     ///
     /// # Errors
     ///
-    /// Fails on bytes that are not a frame; the stream is of no use then.
+    /// Returns an error for bytes that are not a frame; the stream can't be read on.
     pub fn next_message(&mut self) -> Result<Option<Message>> {
         loop {
             let Some(end) = self.frame_end()? else {
@@ -412,10 +412,10 @@
     }
 
     fn frame_end(&self) -> Result<Option<usize>> {
-        let Some((head, rest)) = self.buffer.split_first_chunk::<LENGTH_BYTES>() else {
+        let Some((length_field, rest)) = self.buffer.split_first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
         };
-        let length = u32::from_be_bytes(*head) as usize;
+        let length = u32::from_be_bytes(*length_field) as usize;
         if !(KIND_BYTES..=MAX_FRAME_BYTES).contains(&length) {
             return Err(FrameError::Length(length));
         }
@@ -424,8 +424,8 @@
 }
 
 fn decode_frame(frame: &[u8]) -> Option<Result<Message>> {
-    let (head, body) = frame.split_first_chunk::<KIND_BYTES>()?;
-    let kind = u16::from_be_bytes(*head);
+    let (kind_field, body) = frame.split_first_chunk::<KIND_BYTES>()?;
+    let kind = u16::from_be_bytes(*kind_field);
     let message = Message::decode_body(kind, body)?;
     Some(message.and_then(|message| {
         if is_within_limits(&message) {
--- a/crates/wire/src/peer/limits.rs
+++ b/crates/wire/src/peer/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that a well-formed message has to keep.
+//! Limits on the contents of well-formed messages.
 
 use savoryvane_core::{
     digest::{DigestBatch, Leaver, ZoneDigest},
@@ -16,9 +16,9 @@
 
 pub(super) fn is_within_limits(message: &Message) -> bool {
     match message {
-        Message::Hello(hello) => is_short(hello.instance.as_str()),
+        Message::Hello(hello) => is_name_bounded(hello.instance.as_str()),
         Message::Digests(batch) => are_digests_bounded(batch),
-        Message::Leaving(notice) => is_short(leaver_name(&notice.leaver)),
+        Message::Leaving(notice) => is_name_bounded(leaver_name(&notice.leaver)),
         Message::Zones(zones) => zones.len() <= MAX_ENTRIES && zones.iter().all(is_zone_bounded),
         Message::UsageReport(report) => {
             report.shard.0 < SHARDS
@@ -29,28 +29,28 @@
         Message::ConfigRecords(records) => records.records.len() <= MAX_ENTRIES,
         Message::ConfigSnapshotPart(part) => part.payload.len() <= MAX_PAYLOAD_BYTES,
         Message::AnswerQuery(query) => {
-            is_short(query.workspace.as_str()) && is_key(query.key.as_str())
+            is_name_bounded(query.workspace.as_str()) && is_key_bounded(query.key.as_str())
         }
         Message::AnswerState(AnswerState::Answered(body)) => body.len() <= MAX_PAYLOAD_BYTES,
         Message::TicketRun(run) => is_run_bounded(run),
         Message::StageSubmission(submission) => is_submission_bounded(submission),
-        Message::StageRelease(key) => is_short(key.instance.as_str()),
+        Message::StageRelease(key) => is_name_bounded(key.instance.as_str()),
         Message::StageOutcome(StageOutcome::Ready(results)) => results.len() <= MAX_ENTRIES,
         Message::RoutingQuery(query) => query.lapsing.len() <= MAX_ENTRIES,
         Message::RoutingState(state) => is_routing_bounded(state),
-        Message::CrashQuery(query) => are_ends_bounded(&query.records),
-        Message::CrashState(state) => are_ends_bounded(&state.records),
+        Message::CrashQuery(query) => are_crash_reports_bounded(&query.records),
+        Message::CrashState(state) => are_crash_reports_bounded(&state.records),
         Message::PermitState(PermitState::Quarantined(records)) | Message::Ends(records) => {
-            are_ends_bounded(records)
+            are_crash_reports_bounded(records)
         }
-        Message::LimitQuery(query) => are_limits_bounded(&query.reports),
-        Message::LimitState(state) => are_limits_bounded(&state.reports),
+        Message::LimitQuery(query) => are_limit_reports_bounded(&query.reports),
+        Message::LimitState(state) => are_limit_reports_bounded(&state.reports),
         Message::GrantQuery(query) => {
-            is_short(query.service.as_str())
+            is_name_bounded(query.service.as_str())
                 && (1..=MAX_GRANT_CANDIDATES).contains(&query.servers.len())
-                && query.servers.iter().all(is_limit_sound)
+                && query.servers.iter().all(is_rate_limit_valid)
         }
-        Message::GrantState(GrantState::Granted(server)) => is_short(server.as_str()),
+        Message::GrantState(GrantState::Granted(server)) => is_name_bounded(server.as_str()),
         Message::ClaimAppend(append) => append.claims.len() <= MAX_ENTRIES,
         Message::AnswerState(_)
         | Message::ConfigHead(_)
@@ -69,23 +69,23 @@
     }
 }
 
-fn is_short(name: &str) -> bool {
+fn is_name_bounded(name: &str) -> bool {
     name.len() <= MAX_NAME_BYTES
 }
 
-fn are_limits_bounded(reports: &[LimitReport]) -> bool {
+fn are_limit_reports_bounded(reports: &[LimitReport]) -> bool {
     reports.len() <= MAX_ENTRIES
         && reports.iter().all(|report| {
             let limit_per_s = report.limit_per_s.unwrap_or_default();
-            is_limit_sound(&(report.server.clone(), limit_per_s))
+            is_rate_limit_valid(&(report.server.clone(), limit_per_s))
         })
 }
 
-fn is_limit_sound((server, limit_per_s): &(BackendName, f64)) -> bool {
-    is_short(server.as_str()) && limit_per_s.is_finite() && *limit_per_s >= 0.0
+fn is_rate_limit_valid((server, limit_per_s): &(BackendName, f64)) -> bool {
+    is_name_bounded(server.as_str()) && limit_per_s.is_finite() && *limit_per_s >= 0.0
 }
 
-fn is_key(key: &str) -> bool {
+fn is_key_bounded(key: &str) -> bool {
     key.len() <= MAX_KEY_BYTES
 }
 
@@ -97,36 +97,36 @@
 }
 
 fn are_digests_bounded(batch: &DigestBatch) -> bool {
-    is_short(batch.zone.as_str())
+    is_name_bounded(batch.zone.as_str())
         && batch.entries.len() <= MAX_ENTRIES
         && batch
             .entries
             .iter()
-            .all(|entry| is_short(entry.digest.instance.as_str()))
+            .all(|entry| is_name_bounded(entry.digest.instance.as_str()))
 }
 
 fn is_zone_bounded(digest: &ZoneDigest) -> bool {
-    is_short(digest.zone.as_str())
-        && is_short(digest.region.as_str())
+    is_name_bounded(digest.zone.as_str())
+        && is_name_bounded(digest.region.as_str())
         && digest.leaving.len() <= MAX_ENTRIES
         && digest
             .leaving
             .iter()
-            .all(|entry| is_short(entry.backend.as_str()))
+            .all(|entry| is_name_bounded(entry.backend.as_str()))
 }
 
 fn is_claimant_bounded(claimant: &QuotaClaimant) -> bool {
     match claimant {
         QuotaClaimant::Instance => true,
-        QuotaClaimant::Zone(zone) => is_short(zone.as_str()),
+        QuotaClaimant::Zone(zone) => is_name_bounded(zone.as_str()),
     }
 }
 
 fn is_run_bounded(run: &TicketRun) -> bool {
-    is_key(&run.ticket)
-        && is_short(run.workspace.as_str())
-        && is_short(run.pipeline.as_str())
-        && is_key(run.request.as_str())
+    is_key_bounded(&run.ticket)
+        && is_name_bounded(run.workspace.as_str())
+        && is_name_bounded(run.pipeline.as_str())
+        && is_key_bounded(run.request.as_str())
         && run.body.len() <= MAX_PAYLOAD_BYTES
 }
 
@@ -136,26 +136,30 @@
         .iter()
         .map(|stage| u64::from(stage.pieces))
         .sum();
-    let are_after_known = submission.stages.iter().enumerate().all(|(index, stage)| {
-        stage.after.iter().all(|needed| *needed < index) && is_short(stage.service.as_str())
+    let are_dependencies_earlier = submission.stages.iter().enumerate().all(|(index, stage)| {
+        stage.after.iter().all(|dependency| *dependency < index)
+            && is_name_bounded(stage.service.as_str())
     });
-    is_short(submission.key.instance.as_str())
-        && is_key(submission.request.as_str())
-        && is_key(&submission.piece_key)
+    is_name_bounded(submission.key.instance.as_str())
+        && is_key_bounded(submission.request.as_str())
+        && is_key_bounded(&submission.piece_key)
         && pieces <= MAX_ENTRIES as u64
-        && are_after_known
+        && are_dependencies_earlier
 }
 
-fn are_ends_bounded(records: &[CrashReport]) -> bool {
-    records.len() <= MAX_ENTRIES && records.iter().all(|record| is_key(record.server.as_str()))
+fn are_crash_reports_bounded(records: &[CrashReport]) -> bool {
+    records.len() <= MAX_ENTRIES
+        && records
+            .iter()
+            .all(|record| is_key_bounded(record.server.as_str()))
 }
 
 fn is_routing_bounded(state: &RoutingState) -> bool {
-    let servers = match &state.servers {
+    let server_count = match &state.servers {
         DirectoryUpdate::Whole(listing) => listing.len(),
         DirectoryUpdate::Changes(changes) => changes.len(),
     };
-    servers <= MAX_ENTRIES
+    server_count <= MAX_ENTRIES
         && state.lapsing.len() <= MAX_ENTRIES
         && state.instances.len() <= MAX_ENTRIES
         && state.evacuations.zones.len() <= MAX_ZONES
--- a/crates/wire/src/peer/poison.rs
+++ b/crates/wire/src/peer/poison.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of requests that end backend servers.
+//! Messages between instances about requests that crash backend servers.
 
 use savoryvane_core::{
     ids::Incarnation,
@@ -6,48 +6,48 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// How far an instance knows what another one does of servers that ended.
+/// Position up to which an instance knows another one's crash reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownCrashes {
-    /// Run of the other instance, which numbers its revisions.
+    /// Incarnation of the other instance; revisions are numbered per incarnation.
     pub incarnation: Incarnation,
-    /// Revision up to which it is known.
+    /// Revision up to which its reports are known.
     pub revision: u64,
 }
 
-/// Tells the receiver of servers that ended under requests, and asks for what it knows
-/// of them.
+/// Sends reports of servers that crashed while they ran requests, and requests the
+/// receiver's reports.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashQuery {
-    /// What the sender knows of the receiver's.
+    /// Position up to which the sender knows the receiver's reports.
     pub known: Option<KnownCrashes>,
-    /// What the sender saw.
+    /// Reports of the sender.
     pub records: Vec<CrashReport>,
 }
 
-/// Answer to that.
+/// Response to a [`CrashQuery`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashState {
-    /// What the asker knows with this.
+    /// Position up to which the sender of the query knows the reports after this response.
     pub known: KnownCrashes,
-    /// What it does not know yet.
+    /// Reports that the sender of the query does not know yet.
     pub records: Vec<CrashReport>,
 }
 
-/// Asks for the permit to run one copy of a suspect.
+/// Requests a permit to run one copy of a suspect request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitQuery {
-    /// The request.
+    /// Digest of the request.
     pub digest: RequestDigest,
-    /// Time after which the permit lapses unless it is given back, in ms.
+    /// Time after which the permit expires unless it is returned, in ms.
     pub lease_ms: u64,
 }
 
-/// Gives a permit back.
+/// Returns a permit to its issuer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitReturn {
-    /// The request.
+    /// Digest of the request.
     pub digest: RequestDigest,
-    /// The permit.
+    /// Permit to return.
     pub permit: Permit,
 }
--- a/crates/wire/src/peer/routing.rs
+++ b/crates/wire/src/peer/routing.rs
@@ -1,5 +1,5 @@
-//! What instances that forward requests tell each other of who schedules, of routes,
-//! servers and instances.
+//! Messages between forwarding instances about schedulers, routes, servers and
+//! instances.
 
 use std::net::SocketAddr;
 
@@ -11,59 +11,59 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Asks whether the receiver schedules stages for others, and what it knows.
+/// Asks whether the receiver schedules stages for others and how current its data is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SchedulerQuery;
 
-/// Answer to that question.
+/// Response to a [`SchedulerQuery`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SchedulerState {
-    /// Whether it does, or will as soon as it knows routes and servers.
+    /// Whether it schedules for others, or will as soon as it knows routes and servers.
     pub is_taking: bool,
-    /// What it knows.
+    /// How current its routes, servers and instances are.
     pub known: KnownState,
-    /// Revision of what it knows of the limits that servers name.
+    /// Revision of its collection of the rate limits that servers state.
     pub limits_revision: u64,
 }
 
-/// How far an instance's knowledge of routes, servers and instances goes.
+/// How current an instance's routes, servers and instances are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownState {
     /// Version of its routing configuration.
     pub version: u64,
-    /// Time since the store told it, or one that the store told, in ms.
+    /// Time since the store reported that version to it or to the instance that relayed it, in ms.
     pub version_age_ms: u64,
-    /// Its run, which numbers its revisions.
+    /// Its incarnation; revisions are numbered per incarnation.
     pub incarnation: Incarnation,
     /// Revision of its directory of servers.
     pub revision: u64,
-    /// Time since the store told it, or one that the store told, in ms.
+    /// Time since the store reported the servers to it or to the instance that relayed them, in ms.
     pub servers_age_ms: u64,
-    /// How far it knows the register of servers.
+    /// Position up to which it knows the server registry.
     pub servers: Cursor,
-    /// How far it knows the list of instances.
+    /// Position up to which it knows the list of instances.
     pub instances: Cursor,
-    /// How far it knows which availability zones are evacuated.
+    /// Position up to which it knows the evacuations of availability zones.
     pub evacuations: Cursor,
-    /// Whether it reaches the store.
+    /// Whether it can reach the store.
     pub has_store: bool,
 }
 
-/// Asks for what the receiver knows beyond the sender.
+/// Requests the routes, servers and instances that the sender does not know yet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutingQuery {
     /// Version of the routing configuration that the sender has.
     pub version: u64,
-    /// Revision of the receiver's directory that the sender has taken over last.
+    /// Revision of the receiver's directory that the sender last merged.
     pub revision: Option<u64>,
-    /// How far the sender knows the register of servers.
+    /// Position up to which the sender knows the server registry.
     pub servers: Cursor,
-    /// How far the sender knows the list of instances.
+    /// Position up to which the sender knows the list of instances.
     pub instances: Cursor,
-    /// Whether the sender reaches the store, where it reads a large configuration.
+    /// Whether the sender can reach the store, from which it reads a large configuration.
     pub has_store: bool,
-    /// Servers that the sender takes for lapsed: it asks for what they say of themselves,
-    /// also where that is the same as before.
+    /// Servers that the sender regards as expired. The response includes their entries
+    /// even if they are unchanged.
     pub lapsing: Vec<BackendName>,
 }
 
@@ -76,26 +76,26 @@
     pub addr: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Part of a core that it has.
+    /// Number of CPU cores that it has, possibly a fraction.
     pub cores: f64,
-    /// Position in the list of what it says.
+    /// Position of its entry in the list.
     pub position: Position,
 }
 
-/// What an instance knows of routes, servers and instances.
+/// Response to a [`RoutingQuery`]: routes, servers and instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RoutingState {
-    /// How far its knowledge goes.
+    /// How current the responder's data is.
     pub known: KnownState,
-    /// The routing configuration, if it is a later version that is not left to the
-    /// store.
+    /// The routing configuration, if it is a newer version and the sender of the query
+    /// need not read it from the store.
     pub config: Option<RoutingConfig>,
-    /// The servers, as far as the asker does not know them.
+    /// Servers that the sender of the query does not know yet.
     pub servers: DirectoryUpdate,
-    /// Servers that the register lacked after an outage of the store.
+    /// Servers that were missing from the registry after an outage of the store.
     pub lapsing: Vec<ExpiringServer>,
-    /// The instances that are listed, as far as the asker does not know them.
+    /// Listed instances that the sender of the query does not know yet.
     pub instances: Vec<ListedPeer>,
-    /// Which availability zones are evacuated.
+    /// Evacuations of availability zones.
     pub evacuations: EvacuationState,
 }
--- a/crates/wire/src/placer.rs
+++ b/crates/wire/src/placer.rs
@@ -1,4 +1,4 @@
-//! Payloads of the placer's stream: JSON with a version.
+//! Payloads of the placer's stream: versioned JSON.
 
 use savoryvane_core::{
     ids::{InstanceName, Offset},
@@ -13,7 +13,7 @@
 
 pub use crate::payload::Result;
 
-/// Version that this program writes, and the only one that it reads.
+/// Version that this program writes and the only one that it reads.
 pub const PLACER_VERSION: u32 = 1;
 /// Largest payload, in bytes.
 pub const MAX_PLACER_PAYLOAD_BYTES: usize = 4 * 1024;
@@ -26,14 +26,15 @@
     max_bytes: MAX_PLACER_PAYLOAD_BYTES,
 };
 
-/// The placer as an instance has read it; answer to `GET /admin/v1/placer`.
+/// The current placer, as read from the stream by an instance; response to
+/// `GET /admin/v1/placer`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacerView {
-    /// Instance that is the placer.
+    /// Instance that holds the placer role.
     pub instance: Option<InstanceName>,
-    /// Fencing number of its orders.
+    /// Its term, used as the fencing number of its orders.
     pub term: Option<Offset>,
-    /// Whether the instance that answers gives orders now.
+    /// Whether the responding instance issues orders now.
     pub gives_orders: bool,
 }
 
@@ -41,8 +42,8 @@
 ///
 /// # Errors
 ///
-/// Returns `TooLarge` when the record does not fit a payload, and `Json` when
-/// it has no JSON form.
+/// Returns `TooLarge` when the record does not fit into a payload, and `Json` when
+/// it can't be serialised.
 pub fn encode(record: &PlacerRecord) -> Result<Vec<u8>> {
     FORMAT.encode(record)
 }
@@ -51,17 +52,17 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the payload is too large, of another version or not
+/// Returns an error when the payload is too large, has another version or is not
 /// the JSON of a record.
 pub fn decode(payload: &[u8]) -> Result<PlacerRecord> {
     FORMAT.decode(payload)
 }
 
-/// Decodes the payload of a record as the log returned it.
+/// Decodes the payload of a record that the log returned.
 ///
 /// # Errors
 ///
-/// Returns the errors of [`decode`], and `Base64` when the payload is not that.
+/// Returns the errors of [`decode`], and `Base64` when the payload is not base64.
 pub fn decode_record(record: &LogRecord) -> Result<PlacerRecord> {
     FORMAT.decode_record(record)
 }
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -1,11 +1,11 @@
 //! The platform's append-only log and its list of instances.
 //!
-//! - `POST /v1/streams/{stream}/records`, body: the payload's bytes; answers
+//! - `POST /v1/streams/{stream}/records`, body: the payload's bytes; returns
 //!   200 [`Appended`], 413 too large, 429 over the append rate, 503 outage.
-//! - `GET /v1/streams/{stream}/records?from=N&limit=M&wait_ms=W`; answers 200
+//! - `GET /v1/streams/{stream}/records?from=N&limit=M&wait_ms=W`; returns 200
 //!   [`Records`] (empty after `wait_ms` without a record), 410 [`Trimmed`] when
-//!   `from` is older than the first kept record, 503 outage.
-//! - `GET /v1/instances`; answers 200 [`Listing`], 503 outage.
+//!   `from` is older than the first retained record, 503 outage.
+//! - `GET /v1/instances`; returns 200 [`Listing`], 503 outage.
 
 use std::net::SocketAddr;
 
@@ -18,17 +18,17 @@
 pub const CLAIM_STREAM: &str = "claims";
 /// Stream that carries elections of the placer.
 pub const PLACER_STREAM: &str = "placer";
-/// Stream of requests that end backend servers.
+/// Stream of requests that crash backend servers.
 pub const QUARANTINE_STREAM: &str = "quarantine";
 
-/// Answer to an append.
+/// Response to an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Appended {
-    /// Offset that the record got.
+    /// Offset of the appended record.
     pub offset: Offset,
 }
 
-/// One record as the log returns it.
+/// One record of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogRecord {
     /// Offset of the record.
@@ -39,44 +39,44 @@
     pub payload: String,
 }
 
-/// Answer to a read.
+/// Response to a read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Records {
-    /// Oldest offset that the stream still keeps.
+    /// Oldest offset that the stream retains.
     pub first: Offset,
     /// Offset that the next append will get.
     pub next: Offset,
-    /// Records from the asked offset on, in order.
+    /// Records from the requested offset on, in order.
     pub records: Vec<LogRecord>,
 }
 
 impl Records {
-    /// Tells whether a record from `asked` on is missing: one that is kept but not
-    /// delivered may still come.
-    pub fn has_gap(&self, asked: Offset) -> bool {
-        let delivered = self.records.first();
-        delivered.is_some_and(|record| record.offset > asked) && self.first <= asked
+    /// Returns whether retained records from `requested` on are missing at the start of
+    /// this response; a later read may deliver them.
+    pub fn has_gap(&self, requested: Offset) -> bool {
+        let first_delivered = self.records.first();
+        first_delivered.is_some_and(|record| record.offset > requested) && self.first <= requested
     }
 }
 
-/// Answer to a read of records that are no longer kept.
+/// Response to a read of records that are no longer retained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trimmed {
-    /// Oldest offset that the stream still keeps.
+    /// Oldest offset that the stream retains.
     pub first: Offset,
 }
 
-/// State of an instance or backend server as the platform lists it.
+/// State of an instance or backend server in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedState {
-    /// It is live.
+    /// The process is live.
     Live,
-    /// It is leaving.
+    /// The process is leaving.
     Leaving,
 }
 
-/// What a listed process is.
+/// Role of a listed process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedRole {
@@ -91,9 +91,9 @@
 pub struct Listed {
     /// Name of the instance or backend server.
     pub name: String,
-    /// What it is.
+    /// Its role.
     pub role: ListedRole,
-    /// Availability zone that it stands in.
+    /// Its availability zone.
     pub zone: ZoneName,
     /// Address for peers (entry instances) or calls (backend servers).
     pub addr: SocketAddr,
@@ -101,11 +101,11 @@
     pub state: ListedState,
 }
 
-/// The platform's list, which lags behind the truth.
+/// The platform's list, which lags behind the actual state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
     /// Time that the list describes, in ms since the Unix epoch.
     pub as_of_ms: u64,
-    /// What the platform knew at that time.
+    /// Processes listed at that time.
     pub entries: Vec<Listed>,
 }
--- a/crates/wire/src/quarantine.rs
+++ b/crates/wire/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Payloads of the stream of requests that end backend servers: JSON with a version.
+//! Payloads of the stream of requests that crash backend servers: versioned JSON.
 
 use savoryvane_core::poison::StoredCrashes;
 
@@ -9,9 +9,9 @@
 
 pub use crate::payload::Result;
 
-/// Version that this program writes, and the only one that it reads.
+/// Version that this program writes and the only one that it reads.
 pub const QUARANTINE_VERSION: u32 = 1;
-/// Largest payload, in bytes: ten ends with the longest names.
+/// Largest payload, in bytes; fits ten crashes of servers with the longest names.
 pub const MAX_QUARANTINE_PAYLOAD_BYTES: usize = 8 * 1024;
 
 /// Why a payload of the stream can't be encoded or decoded.
@@ -22,11 +22,12 @@
     max_bytes: MAX_QUARANTINE_PAYLOAD_BYTES,
 };
 
-/// Encodes what is kept of a request as the bytes to append.
+/// Encodes the stored crashes of a request as the bytes to append.
 ///
 /// # Errors
 ///
-/// Returns `TooLarge` when it does not fit a payload, and `Json` when it has no JSON form.
+/// Returns `TooLarge` when they do not fit into a payload, and `Json` when they can't be
+/// serialised.
 pub fn encode(stored: &StoredCrashes) -> Result<Vec<u8>> {
     FORMAT.encode(stored)
 }
@@ -35,17 +36,17 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the payload is too large, of another version or not the JSON of
-/// a record.
+/// Returns an error when the payload is too large, has another version or is not the
+/// JSON of a record.
 pub fn decode(payload: &[u8]) -> Result<StoredCrashes> {
     FORMAT.decode(payload)
 }
 
-/// Decodes the payload of a record as the log returned it.
+/// Decodes the payload of a record that the log returned.
 ///
 /// # Errors
 ///
-/// Returns the errors of [`decode`], and `Base64` when the payload is not that.
+/// Returns the errors of [`decode`], and `Base64` when the payload is not base64.
 pub fn decode_record(record: &LogRecord) -> Result<StoredCrashes> {
     FORMAT.decode_record(record)
 }
--- a/crates/wire/tests/claims.rs
+++ b/crates/wire/tests/claims.rs
@@ -1,4 +1,4 @@
-//! The payload of the claim stream, read from good and hostile bytes.
+//! Encoding and decoding of claim stream payloads, valid and hostile.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use savoryvane_core::{ids::Incarnation, outcome::Outcome};
@@ -73,18 +73,18 @@
 }
 
 #[test]
-fn a_batch_is_read_back_as_it_was_written() {
-    fn law(batch: AnyBatch) -> bool {
+fn batches_round_trip() {
+    fn property(batch: AnyBatch) -> bool {
         let payload = encode(&batch.0).expect("within the limits");
         let sizes = batch.0.entries.iter().map(Entry::max_encoded_bytes);
         payload.len() <= 8 + sizes.sum::<usize>() && decode(&payload) == Ok(batch.0)
     }
-    seeded().tests(500).quickcheck(law as fn(_) -> _);
+    seeded().tests(500).quickcheck(property as fn(_) -> _);
 }
 
 #[test]
 fn changed_bytes_are_an_error_or_a_batch_within_the_limits() {
-    fn law(batch: AnyBatch, at: usize, to: u8, cut: usize, tail: Vec<u8>) -> bool {
+    fn property(batch: AnyBatch, at: usize, to: u8, cut: usize, tail: Vec<u8>) -> bool {
         let mut payload = encode(&batch.0).expect("within the limits");
         let len = payload.len();
         payload[at % len] = to;
@@ -94,16 +94,16 @@
     }
     seeded()
         .tests(5_000)
-        .quickcheck(law as fn(_, _, _, _, _) -> _);
+        .quickcheck(property as fn(_, _, _, _, _) -> _);
 }
 
 #[test]
-fn any_bytes_are_read_without_panic() {
-    fn law(mut bytes: Vec<u8>) -> bool {
+fn arbitrary_bytes_decode_without_panic() {
+    fn property(mut bytes: Vec<u8>) -> bool {
         bytes.insert(0, VERSION);
         decode(&bytes).is_err() || encode(&decode(&bytes).unwrap()).is_ok()
     }
-    seeded().tests(5_000).quickcheck(law as fn(_) -> _);
+    seeded().tests(5_000).quickcheck(property as fn(_) -> _);
 }
 
 #[test]
@@ -121,8 +121,8 @@
 }
 
 #[test]
-fn a_huge_announced_length_allocates_nothing_much() {
-    // Version, then a count of entries of 2^63.
+fn a_huge_declared_length_is_refused_without_a_large_allocation() {
+    // The version, then an entry count of 2^63.
     let mut payload = vec![VERSION, 253];
     payload.extend((1_u64 << 63).to_le_bytes());
     assert_eq!(decode(&payload), Err(ClaimsError::Malformed));
--- a/crates/wire/tests/common/mod.rs
+++ b/crates/wire/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Payloads as a log may return them.
+//! Helpers that damage payloads as a faulty log might.
 
-/// Returns a payload with one byte replaced and its end cut off, at places drawn freely.
+/// Replaces the byte at `at` (modulo the length) and truncates the payload.
 pub fn damaged(mut payload: Vec<u8>, cut: usize, at: usize, byte: u8) -> Vec<u8> {
     let at = at % payload.len();
     payload[at] = byte;
--- a/crates/wire/tests/config.rs
+++ b/crates/wire/tests/config.rs
@@ -1,4 +1,4 @@
-//! Decoding of the configuration stream's payloads.
+//! Encoding and decoding of configuration stream payloads.
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 use quickcheck::{Gen, QuickCheck};
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn records_come_back_as_they_were() {
+fn records_round_trip() {
     let checkpoint = State::new().checkpoint().remove(0);
     for record in [record(), ConfigRecord::Checkpoint(checkpoint)] {
         let payload = encode(&record).unwrap();
@@ -64,7 +64,7 @@
     if cut {
         payload.truncate(at);
     }
-    // Any typed result will do: the altered byte may be part of a name.
+    // The result may be `Ok`, since the altered byte may be part of a name.
     let _ = decode(&payload);
     true
 }
--- a/crates/wire/tests/json.rs
+++ b/crates/wire/tests/json.rs
@@ -1,5 +1,5 @@
-//! JSON of the outside interfaces: what is not a message is refused without a
-//! panic, and what is taken means the same when it is passed on.
+//! JSON of the external interfaces: invalid messages are refused without a panic,
+//! and accepted ones round-trip.
 
 use std::fmt::Debug;
 
@@ -12,7 +12,7 @@
 const GEN_SIZE: usize = 60;
 const TESTS: u64 = 3_000;
 
-/// Decodes bytes; `Err` when they are refused.
+/// Decodes bytes and returns an error when they are refused.
 type Decoder = fn(&[u8]) -> Result<(), String>;
 
 fn decode<T>(bytes: &[u8]) -> Result<(), String>
@@ -20,9 +20,9 @@
     T: DeserializeOwned + Serialize + PartialEq + Debug,
 {
     let value: T = serde_json::from_slice(bytes).map_err(|err| err.to_string())?;
-    let again = serde_json::to_vec(&value).expect("what was taken can be passed on");
-    let again: T = serde_json::from_slice(&again).expect("what is passed on is taken");
-    assert_eq!(value, again);
+    let encoded = serde_json::to_vec(&value).expect("an accepted message can be encoded");
+    let decoded: T = serde_json::from_slice(&encoded).expect("an encoded message is accepted");
+    assert_eq!(value, decoded);
     Ok(())
 }
 
@@ -119,7 +119,7 @@
     (decode::<admin::Drain>, r#"{"instance":"e1"}"#),
 ];
 
-/// Values that a field of another type may be given.
+/// Values to put into fields of other types.
 const HOSTILE: [&str; 14] = [
     "null",
     "true",
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn any_bytes_end_in_a_result() {
+fn arbitrary_bytes_decode_without_panic() {
     fn property(bytes: Vec<u8>) {
         for (decode, _) in MESSAGES {
             let _ = decode(&bytes);
@@ -223,7 +223,7 @@
     }
 }
 
-/// A message that names two calls must not pass as either of them.
+/// A message with two values for one field is ambiguous, for example between two calls.
 #[test]
 fn fields_that_are_given_twice_are_refused() {
     for (decode, text) in MESSAGES {
--- a/crates/wire/tests/peer.rs
+++ b/crates/wire/tests/peer.rs
@@ -1,4 +1,4 @@
-//! Frames between instances: what is sent comes back, and hostile bytes do no harm.
+//! Frames between instances: messages round-trip, and hostile bytes are refused.
 
 use quickcheck::{Gen, QuickCheck, Testable};
 use savoryvane_core::ids::{Incarnation, Offset, RegionName, ZoneName};
@@ -47,7 +47,7 @@
     })
 }
 
-fn end() -> CrashReport {
+fn crash_report() -> CrashReport {
     CrashReport {
         digest: RequestDigest([7; 16]),
         server: "i-1 1796000000000".into(),
@@ -58,7 +58,7 @@
 }
 
 fn samples() -> Vec<Message> {
-    let known_ends = KnownCrashes {
+    let known_crashes = KnownCrashes {
         incarnation: Incarnation(7),
         revision: 12,
     };
@@ -69,12 +69,12 @@
     };
     vec![
         Message::CrashQuery(CrashQuery {
-            known: Some(known_ends),
-            records: vec![end()],
+            known: Some(known_crashes),
+            records: vec![crash_report()],
         }),
         Message::CrashState(CrashState {
-            known: known_ends,
-            records: vec![end(), end()],
+            known: known_crashes,
+            records: vec![crash_report(), crash_report()],
         }),
         Message::PermitQuery(PermitQuery {
             digest,
@@ -82,9 +82,9 @@
         }),
         Message::PermitState(PermitState::Granted(permit)),
         Message::PermitState(PermitState::Out { lapses_in_ms: 400 }),
-        Message::PermitState(PermitState::Quarantined(vec![end()])),
+        Message::PermitState(PermitState::Quarantined(vec![crash_report()])),
         Message::PermitReturn(PermitReturn { digest, permit }),
-        Message::Ends(vec![end()]),
+        Message::Ends(vec![crash_report()]),
         Message::Hello(Hello {
             version: PROTOCOL_VERSION,
             instance: "entry-1".into(),
@@ -201,7 +201,7 @@
     }
 }
 
-/// A limit that no server can keep to is refused before it is reckoned with.
+/// Negative and non-finite rate limits are refused before a limiter uses them.
 #[test]
 fn limits_that_are_no_sound_numbers_are_refused() {
     for limit_per_s in [-1.0, f64::NAN, f64::INFINITY] {
@@ -224,9 +224,9 @@
     }
 }
 
-/// A grant for no server at all can't be given.
+/// A grant query without candidate servers can't be granted.
 #[test]
-fn questions_for_grants_name_some_servers() {
+fn grant_queries_without_servers_are_refused() {
     let mut query = grant_query(1.0);
     query.servers.clear();
     let message = Message::GrantQuery(query);
@@ -295,13 +295,13 @@
     }
 }
 
-/// A stage that needs itself, a later one or one that is not there is refused
-/// before it reaches the scheduler, which follows these numbers.
+/// A stage that depends on itself, on a later stage or on a missing one is refused
+/// before it reaches the scheduler, which indexes stages by these numbers.
 #[test]
-fn stages_that_need_no_earlier_ones_are_refused() {
-    for needed in [1, 2, 99] {
+fn stages_with_invalid_dependencies_are_refused() {
+    for dependency in [1, 2, 99] {
         let mut hostile = submission();
-        hostile.stages[1].after = vec![needed];
+        hostile.stages[1].after = vec![dependency];
         let message = Message::StageSubmission(hostile);
         assert_eq!(encode(&message), Err(FrameError::OverLimit(18)));
     }
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn frames_split_at_any_byte_come_back_whole() {
+fn frames_split_at_any_byte_are_reassembled() {
     let bytes: Vec<u8> = samples().iter().flat_map(|m| encode(m).unwrap()).collect();
     for step in [1, 2, 3, 7, 64, bytes.len()] {
         assert_eq!(read_all(&bytes, step), Ok((samples(), 0)));
@@ -364,10 +364,10 @@
     assert_eq!(encode(&hello), Err(FrameError::OverLimit(1)));
     let answer = Message::AnswerState(AnswerState::Answered(vec![0; MAX_PAYLOAD_BYTES + 1]));
     assert_eq!(encode(&answer), Err(FrameError::OverLimit(13)));
-    let mut named = end();
-    named.server = "x".repeat(MAX_KEY_BYTES + 1).as_str().into();
-    let ends = Message::Ends(vec![named]);
-    assert_eq!(encode(&ends), Err(FrameError::OverLimit(35)));
+    let mut report = crash_report();
+    report.server = "x".repeat(MAX_KEY_BYTES + 1).as_str().into();
+    let reports = Message::Ends(vec![report]);
+    assert_eq!(encode(&reports), Err(FrameError::OverLimit(35)));
 }
 
 #[test]
@@ -384,8 +384,8 @@
 fn hostile_bytes_never_panic() {
     fn property(mut bytes: Vec<u8>, length: u8) {
         let _ = read_all(&bytes, 5);
-        // Hardly any random length is within the limit, and what comes after
-        // the length would go unread.
+        // Few random lengths are within the limit, and the bytes after a length out of
+        // range are not read.
         bytes.splice(..0, u32::from(length).to_be_bytes());
         let _ = read_all(&bytes, 5);
     }
--- a/crates/wire/tests/placer.rs
+++ b/crates/wire/tests/placer.rs
@@ -1,4 +1,4 @@
-//! Payloads of the placer's stream.
+//! Encoding and decoding of placer stream payloads.
 
 mod common;
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn placer_records_come_back_as_written() {
+fn placer_records_round_trip() {
     let claim = PlacerRecord::Claim {
         expected: Offset(u64::MAX),
         instance: "entry-1".into(),
@@ -53,12 +53,12 @@
 }
 
 #[test]
-fn any_bytes_decode_or_fail_without_a_panic() {
-    fn law(cut: usize, at: usize, byte: u8, noise: Vec<u8>) -> bool {
+fn arbitrary_and_damaged_bytes_decode_without_panic() {
+    fn property(cut: usize, at: usize, byte: u8, noise: Vec<u8>) -> bool {
         let payload = damaged(encode(&renewal()).unwrap(), cut, at, byte);
         let _ = decode(&payload);
         let _ = decode(&noise);
         true
     }
-    QuickCheck::new().quickcheck(law as fn(_, _, _, _) -> _);
+    QuickCheck::new().quickcheck(property as fn(_, _, _, _) -> _);
 }
--- a/crates/wire/tests/quarantine.rs
+++ b/crates/wire/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Payloads of the stream of requests that end backend servers.
+//! Encoding and decoding of quarantine stream payloads.
 
 mod common;
 
@@ -10,23 +10,23 @@
 };
 use savoryvane_wire::quarantine::{QuarantinePayloadError, decode, encode};
 
-fn stored(ends: usize, name: &str) -> StoredCrashes {
-    let end = |number| StoredCrash {
+fn stored(crash_count: usize, name: &str) -> StoredCrashes {
+    let crash = |number| StoredCrash {
         server: BackendName::new(format!("{name}-{number}")),
         evidence: Evidence::Refused,
     };
     StoredCrashes {
         digest: RequestDigest([7; 16]),
-        ends: (0..ends).map(end).collect(),
+        ends: (0..crash_count).map(crash).collect(),
     }
 }
 
 #[test]
-fn what_is_kept_comes_back_as_written() {
-    // None takes the request back; ten is the most that is remembered.
-    for ends in [0, 3, 10] {
-        let kept = stored(ends, "press");
-        assert_eq!(decode(&encode(&kept).unwrap()).unwrap(), kept);
+fn stored_crashes_round_trip() {
+    // No crashes revoke the quarantine; ten is the maximum that is stored.
+    for crash_count in [0, 3, 10] {
+        let crashes = stored(crash_count, "press");
+        assert_eq!(decode(&encode(&crashes).unwrap()).unwrap(), crashes);
     }
     let longest = "x".repeat(600);
     assert!(encode(&stored(10, &longest)).is_ok());
@@ -43,12 +43,12 @@
 }
 
 #[test]
-fn any_bytes_decode_or_fail_without_a_panic() {
-    fn law(cut: usize, at: usize, byte: u8, noise: Vec<u8>) -> bool {
+fn arbitrary_and_damaged_bytes_decode_without_panic() {
+    fn property(cut: usize, at: usize, byte: u8, noise: Vec<u8>) -> bool {
         let payload = damaged(encode(&stored(3, "press")).unwrap(), cut, at, byte);
         let _ = decode(&payload);
         let _ = decode(&noise);
         true
     }
-    QuickCheck::new().quickcheck(law as fn(usize, usize, u8, Vec<u8>) -> bool);
+    QuickCheck::new().quickcheck(property as fn(usize, usize, u8, Vec<u8>) -> bool);
 }
