--- a/crates/server/src/gateway/peer_messages.rs
+++ b/crates/server/src/gateway/peer_messages.rs
@@ -3,7 +3,7 @@
 use std::{future, sync::Arc, time::Duration};
 
 use savoryvane_core::stages::StageOutcome;
-use savoryvane_wire::peer::{Declined, Message, SchedulerState, Taken};
+use savoryvane_wire::peer::{Ack, Declined, Message, SchedulerState};
 use tokio::time::{self, Instant};
 
 use super::{
@@ -71,7 +71,7 @@
             }
             Message::StageRelease(key) => {
                 self.dispatch.release(&key);
-                Message::Taken(Taken)
+                Message::Ack(Ack)
             }
             Message::SchedulerQuery(_) => {
                 self.limits.on_seen(&from.instance);
@@ -94,7 +94,7 @@
             Message::PermitQuery(query) => Message::PermitState(self.quarantine.grant(query)),
             Message::PermitReturn(permit) => {
                 self.quarantine.on_returned(permit);
-                Message::Taken(Taken)
+                Message::Ack(Ack)
             }
             _ => Message::Declined(Declined::Unsupported),
         };
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -217,7 +217,7 @@
 
 /// Acknowledges a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Taken;
+pub struct Ack;
 
 macro_rules! messages {
     ($($(#[$doc:meta])* $number:literal $variant:ident($body:ty),)+) => {
@@ -293,7 +293,7 @@
     /// Releases the results of a pipeline request that are no longer needed; a request.
     20 StageRelease(RequestKey),
     /// Response without content.
-    21 Taken(Taken),
+    21 Ack(Ack),
     /// Asks whether the receiver is a scheduler; a request.
     26 SchedulerQuery(SchedulerQuery),
     /// Response to [`SchedulerQuery`].
--- a/crates/wire/src/peer/limits.rs
+++ b/crates/wire/src/peer/limits.rs
@@ -58,7 +58,7 @@
         | Message::ConfigSnapshotQuery(_)
         | Message::ClaimAppended(_)
         | Message::StageOutcome(_)
-        | Message::Taken(_)
+        | Message::Ack(_)
         | Message::SchedulerQuery(_)
         | Message::SchedulerState(_)
         | Message::PermitQuery(_)
--- a/crates/wire/tests/peer.rs
+++ b/crates/wire/tests/peer.rs
@@ -131,7 +131,7 @@
             to: Some("entry-2".into()),
         }),
         Message::StageRelease(submission().key),
-        Message::Taken(Taken),
+        Message::Ack(Ack),
         Message::SchedulerQuery(SchedulerQuery),
         Message::SchedulerState(SchedulerState {
             is_taking: true,
