--- a/crates/server/src/crashes.rs
+++ b/crates/server/src/crashes.rs
@@ -140,7 +140,7 @@
         shared
             .members
             .peers()
-            .send_all(&Message::Ends(vec![record]));
+            .send_all(&Message::CrashReports(vec![record]));
     }
 }
 
@@ -151,7 +151,10 @@
     if was_suspect {
         info!(shared.log, "suspect cleared"; "digest" => %digest, "reason" => "answered");
         let records = shared.ends.book().records(now_ms, &digest);
-        shared.members.peers().send_all(&Message::Ends(records));
+        shared
+            .members
+            .peers()
+            .send_all(&Message::CrashReports(records));
     }
 }
 
@@ -161,7 +164,10 @@
     let has_changed = shared.ends.book().on_reports(now_ms, records.clone());
     if has_changed {
         info!(shared.log, "crashes advertised"; "ends" => records.len(), "source" => "peer");
-        shared.members.peers().send_all(&Message::Ends(records));
+        shared
+            .members
+            .peers()
+            .send_all(&Message::CrashReports(records));
     }
 }
 
@@ -192,7 +198,7 @@
         let told = shared.ends.book().reports_since(now_ms, known);
         known = told.revision;
         if !told.records.is_empty() {
-            send(Message::Ends(told.records));
+            send(Message::CrashReports(told.records));
         }
     }
 }
--- a/crates/server/src/peering.rs
+++ b/crates/server/src/peering.rs
@@ -24,7 +24,7 @@
         let from = from.instance.clone();
         let event = match message {
             Message::ConfigHead(head) => return relay::take_head(&self.shared, head),
-            Message::Ends(records) => return crashes::on_told(&self.shared, records),
+            Message::CrashReports(records) => return crashes::on_told(&self.shared, records),
             Message::ConfigRecords(relayed) => return relay::take_records(&self.shared, relayed),
             Message::Digests(batch) => Event::Digests { from, batch },
             Message::Zones(zones) => Event::Zones { from, zones },
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -313,7 +313,7 @@
     /// Returns a permit; a request.
     34 PermitReturn(PermitReturn),
     /// Reports of servers that crashed while they ran requests.
-    35 Ends(Vec<CrashReport>),
+    35 CrashReports(Vec<CrashReport>),
     /// Exchanges the rate limits that servers state; a request.
     39 LimitQuery(LimitQuery),
     /// Response to [`LimitQuery`].
--- a/crates/wire/src/peer/limits.rs
+++ b/crates/wire/src/peer/limits.rs
@@ -40,9 +40,8 @@
         Message::RoutingState(state) => is_routing_bounded(state),
         Message::CrashQuery(query) => are_crash_reports_bounded(&query.records),
         Message::CrashState(state) => are_crash_reports_bounded(&state.records),
-        Message::PermitState(PermitState::Quarantined(records)) | Message::Ends(records) => {
-            are_crash_reports_bounded(records)
-        }
+        Message::PermitState(PermitState::Quarantined(records))
+        | Message::CrashReports(records) => are_crash_reports_bounded(records),
         Message::LimitQuery(query) => are_limit_reports_bounded(&query.reports),
         Message::LimitState(state) => are_limit_reports_bounded(&state.reports),
         Message::GrantQuery(query) => {
--- a/crates/wire/tests/peer.rs
+++ b/crates/wire/tests/peer.rs
@@ -84,7 +84,7 @@
         Message::PermitState(PermitState::Out { lapses_in_ms: 400 }),
         Message::PermitState(PermitState::Quarantined(vec![crash_report()])),
         Message::PermitReturn(PermitReturn { digest, permit }),
-        Message::Ends(vec![crash_report()]),
+        Message::CrashReports(vec![crash_report()]),
         Message::Hello(Hello {
             version: PROTOCOL_VERSION,
             instance: "entry-1".into(),
@@ -366,7 +366,7 @@
     assert_eq!(encode(&answer), Err(FrameError::OverLimit(13)));
     let mut report = crash_report();
     report.server = "x".repeat(MAX_KEY_BYTES + 1).as_str().into();
-    let reports = Message::Ends(vec![report]);
+    let reports = Message::CrashReports(vec![report]);
     assert_eq!(encode(&reports), Err(FrameError::OverLimit(35)));
 }
 
