--- a/crates/ctl/src/admin.rs
+++ b/crates/ctl/src/admin.rs
@@ -15,7 +15,7 @@
 use tokio::task::JoinSet;
 
 use crate::{
-    client::{self, Answer, Call, Fault},
+    client::{self, Call, ExchangeError, Response},
     error::{Error, Result},
     settings::Settings,
 };
@@ -31,30 +31,32 @@
 const COSTS: &str = "/admin/v1/costs";
 const DRAIN: &str = "/admin/v1/drain";
 
-/// Calls instances by the addresses of the settings.
+/// Calls the instances at the addresses in the settings.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Admin<'a> {
     settings: &'a Settings,
 }
 
-/// What one address said, or why it said nothing.
-pub(crate) type Said<T> = (SocketAddr, Result<T>);
+/// Result of a call to one address.
+pub(crate) type AddressResult<T> = (SocketAddr, Result<T>);
 
-/// Addresses without an answer, each with the reason.
+/// Addresses that did not respond, call_all with the reason.
 pub(crate) type Failures = Vec<(SocketAddr, String)>;
 
-/// Parts answers from addresses without one; any other error counts for all.
-pub(crate) fn split<T>(said: Vec<Said<T>>) -> Result<(Vec<(SocketAddr, T)>, Failures)> {
-    let mut answers = Vec::new();
+/// Separates responses from unreachable addresses; returns call_first_available other error.
+pub(crate) fn split_unreachable<T>(
+    results: Vec<AddressResult<T>>,
+) -> Result<(Vec<(SocketAddr, T)>, Failures)> {
+    let mut responses = Vec::new();
     let mut failures = Vec::new();
-    for (addr, said) in said {
-        match said {
-            Ok(answer) => answers.push((addr, answer)),
+    for (addr, result) in results {
+        match result {
+            Ok(response) => responses.push((addr, response)),
             Err(Error::Unreachable(failure)) => failures.extend(failure),
             Err(err) => return Err(err),
         }
     }
-    Ok((answers, failures))
+    Ok((responses, failures))
 }
 
 impl<'a> Admin<'a> {
@@ -67,137 +69,139 @@
         intent: &Intent,
         operator: Option<&OperatorName>,
     ) -> Result<Plan> {
-        let mut call = Call::post(PLANS, json(intent));
+        let mut call = Call::post(PLANS, to_json(intent));
         call.header = operator.map(|name| {
             let header = HeaderName::from_static(admin::OPERATOR);
             (header, name.to_string())
         });
-        self.any(&call).await
+        self.call_first_available(&call).await
     }
 
     /// Sends a plan to one instance.
     ///
     /// # Errors
     ///
-    /// The outer error is one of the exchange, the inner one of the answer.
+    /// The outer error is one of the HTTP exchange, the inner one that of the response.
     pub(crate) async fn confirm_at(
         self,
         addr: SocketAddr,
         plan: &Plan,
-    ) -> std::result::Result<Result<Confirmation>, Fault> {
-        let call = Call::post(CONFIRMATIONS, json(plan));
-        let answer = client::exchange(self.settings, addr, &call).await?;
-        Ok(decode(addr, &answer))
+    ) -> std::result::Result<Result<Confirmation>, ExchangeError> {
+        let call = Call::post(CONFIRMATIONS, to_json(plan));
+        let response = client::exchange(self.settings, addr, &call).await?;
+        Ok(decode(addr, &response))
     }
 
     pub(crate) async fn reach(self, offset: Offset) -> Result<Reach> {
-        self.any(&Call::get(format!("{REACH}?offset={offset}")))
+        self.call_first_available(&Call::get(format!("{REACH}?offset={offset}")))
             .await
     }
 
     pub(crate) async fn objects(self) -> Result<Vec<Object>> {
-        self.any(&Call::get(OBJECTS)).await
+        self.call_first_available(&Call::get(OBJECTS)).await
     }
 
     pub(crate) async fn history(self) -> Result<Vec<HistoryEntry>> {
-        self.any(&Call::get(HISTORY)).await
+        self.call_first_available(&Call::get(HISTORY)).await
     }
 
     pub(crate) async fn instances(self) -> Result<Vec<InstanceView>> {
-        self.any(&Call::get(INSTANCES)).await
+        self.call_first_available(&Call::get(INSTANCES)).await
     }
 
     pub(crate) async fn backends(self) -> Result<Vec<BackendView>> {
-        self.any(&Call::get(BACKENDS)).await
+        self.call_first_available(&Call::get(BACKENDS)).await
     }
 
-    /// Asks every address for its status.
-    pub(crate) async fn statuses(self) -> Vec<Said<Status>> {
-        self.each(&Call::get(STATUS), &self.settings.admins).await
+    /// Requests the status from every address.
+    pub(crate) async fn statuses(self) -> Vec<AddressResult<Status>> {
+        self.call_all(&Call::get(STATUS), &self.settings.admins)
+            .await
     }
 
-    /// Asks each of `addrs` for its costs.
-    pub(crate) async fn costs(self, addrs: &[SocketAddr]) -> Vec<Said<Vec<CostLine>>> {
-        self.each(&Call::get(COSTS), addrs).await
+    /// Requests the costs from call_all of `addrs`.
+    pub(crate) async fn costs(self, addrs: &[SocketAddr]) -> Vec<AddressResult<Vec<CostLine>>> {
+        self.call_all(&Call::get(COSTS), addrs).await
     }
 
     pub(crate) async fn drain(self, addr: SocketAddr, instance: &InstanceName) -> Result<()> {
         let drain = Drain {
             instance: instance.clone(),
         };
-        let call = Call::post(DRAIN, json(&drain));
+        let call = Call::post(DRAIN, to_json(&drain));
         match client::exchange(self.settings, addr, &call).await {
-            Ok(answer) => check(addr, &answer),
-            Err(Fault::NotSent(reason)) => Err(Error::Unreachable(vec![(addr, reason)])),
-            Err(Fault::Unanswered(reason)) => Err(Error::DrainUnknown(addr, reason)),
+            Ok(response) => check_status(addr, &response),
+            Err(ExchangeError::NotSent(reason)) => Err(Error::Unreachable(vec![(addr, reason)])),
+            Err(ExchangeError::Unanswered(reason)) => Err(Error::DrainUnknown(addr, reason)),
         }
     }
 
-    /// Asks one address after the other until one can answer. For calls that change
-    /// nothing.
-    async fn any<T: DeserializeOwned>(self, call: &Call) -> Result<T> {
+    /// Tries the addresses in turn until one responds with a status other than 503. For
+    /// read-only calls.
+    async fn call_first_available<T: DeserializeOwned>(self, call: &Call) -> Result<T> {
         let mut failures = Vec::new();
         let mut unavailable = None;
         for &addr in &self.settings.admins {
             match client::exchange(self.settings, addr, call).await {
-                // It may have started just now; another one may know.
-                Ok(answer) if answer.status == StatusCode::SERVICE_UNAVAILABLE => {
-                    unavailable = Some((addr, answer));
+                // The instance may have just started; another one may have the data.
+                Ok(response) if response.status == StatusCode::SERVICE_UNAVAILABLE => {
+                    unavailable = Some((addr, response));
                 }
-                Ok(answer) => return decode(addr, &answer),
-                Err(fault) => failures.push((addr, fault.to_string())),
+                Ok(response) => return decode(addr, &response),
+                Err(err) => failures.push((addr, err.to_string())),
             }
         }
         match unavailable {
-            Some((addr, answer)) => decode(addr, &answer),
+            Some((addr, response)) => decode(addr, &response),
             None => Err(Error::Unreachable(failures)),
         }
     }
 
-    /// Asks all addresses at the same time; answers come in their order.
-    async fn each<T>(self, call: &Call, addrs: &[SocketAddr]) -> Vec<Said<T>>
+    /// Calls all addresses concurrently; returns the results in the order of `addrs`.
+    async fn call_all<T>(self, call: &Call, addrs: &[SocketAddr]) -> Vec<AddressResult<T>>
     where
         T: DeserializeOwned + Send + 'static,
     {
-        let mut asked = JoinSet::new();
+        let mut calls = JoinSet::new();
         for (index, &addr) in addrs.iter().enumerate() {
             let (settings, call) = (self.settings.clone(), call.clone());
-            asked.spawn(async move {
-                let answer = exchange(&settings, addr, &call).await;
-                let said = answer.and_then(|answer| decode(addr, &answer));
-                (index, addr, said)
+            calls.spawn(async move {
+                let response = exchange(&settings, addr, &call).await;
+                let result = response.and_then(|response| decode(addr, &response));
+                (index, addr, result)
             });
         }
-        let mut said = asked.join_all().await;
-        said.sort_by_key(|(index, ..)| *index);
-        said.into_iter()
-            .map(|(_, addr, said)| (addr, said))
+        let mut results = calls.join_all().await;
+        results.sort_by_key(|(index, ..)| *index);
+        results
+            .into_iter()
+            .map(|(_, addr, result)| (addr, result))
             .collect()
     }
 }
 
-async fn exchange(settings: &Settings, addr: SocketAddr, call: &Call) -> Result<Answer> {
+async fn exchange(settings: &Settings, addr: SocketAddr, call: &Call) -> Result<Response> {
     client::exchange(settings, addr, call)
         .await
-        .map_err(|fault| Error::Unreachable(vec![(addr, fault.to_string())]))
+        .map_err(|err| Error::Unreachable(vec![(addr, err.to_string())]))
 }
 
-fn json<T: Serialize>(value: &T) -> Vec<u8> {
+fn to_json<T: Serialize>(value: &T) -> Vec<u8> {
     serde_json::to_vec(value).expect("messages have string keys only")
 }
 
-fn decode<T: DeserializeOwned>(addr: SocketAddr, answer: &Answer) -> Result<T> {
-    check(addr, answer)?;
-    serde_json::from_slice(&answer.body)
-        .map_err(|err| Error::BadAnswer(addr, answer.status, err.to_string()))
+fn decode<T: DeserializeOwned>(addr: SocketAddr, response: &Response) -> Result<T> {
+    check_status(addr, response)?;
+    serde_json::from_slice(&response.body)
+        .map_err(|err| Error::BadAnswer(addr, response.status, err.to_string()))
 }
 
-fn check(addr: SocketAddr, answer: &Answer) -> Result<()> {
-    if matches!(answer.status, StatusCode::OK | StatusCode::ACCEPTED) {
+fn check_status(addr: SocketAddr, response: &Response) -> Result<()> {
+    if matches!(response.status, StatusCode::OK | StatusCode::ACCEPTED) {
         return Ok(());
     }
-    Err(match serde_json::from_slice::<AdminError>(&answer.body) {
-        Ok(body) => Error::Refused(addr, answer.status, body),
-        Err(err) => Error::BadAnswer(addr, answer.status, err.to_string()),
+    Err(match serde_json::from_slice::<AdminError>(&response.body) {
+        Ok(body) => Error::Refused(addr, response.status, body),
+        Err(err) => Error::BadAnswer(addr, response.status, err.to_string()),
     })
 }
--- a/crates/ctl/src/bin/savoryvanectl/app.rs
+++ b/crates/ctl/src/bin/savoryvanectl/app.rs
@@ -1,4 +1,4 @@
-//! Turns the command line into settings and a command, and runs it.
+//! Converts the command line into settings and a command, and executes it.
 
 use std::{
     env,
@@ -9,23 +9,23 @@
 
 use savoryvane_core::ids::{InstanceName, OperatorName, is_valid_name};
 use savoryvane_ctl::{
-    Command, Confirmed, Controller, Costs, Credential, Error, Exit, Format, Grouping, ObjectList,
-    Planned, ReportForm, Result, Settings, account, explain,
+    Command, ConfirmArgs, Controller, CostsArgs, Credential, Error, Exit, Format, Grouping,
+    ObjectList, PlanArgs, ReportForm, Result, Settings, account, explain,
 };
 use serde_json::json;
 
 use crate::flags::{self, Savoryvanectl, SavoryvanectlCmd};
 
-/// Variable with the addresses that are used without `--admin`.
+/// Environment variable with the addresses to use without `--admin`.
 const ADMIN_VARIABLE: &str = "SAVORYVANE_ADMIN";
-/// Longest time for one answer, in ms; a confirm may take an instance 5 s.
+/// Default timeout for one response, in ms; a confirm may take an instance 5 s.
 const DEFAULT_TIMEOUT_MS: u64 = 10_000;
-/// Longest wait for a change to be in force everywhere, in ms.
+/// Default maximum time to wait until a change is in force everywhere, in ms.
 const DEFAULT_WAIT_MS: u64 = 10_000;
-/// Seconds for each row of an account.
-const DEFAULT_EVERY_S: u64 = 2;
-/// Longest accepted time on the command line, in ms.
-const MAX_TIME_MS: u64 = 3_600_000;
+/// Default interval of each row of the account, in seconds.
+const DEFAULT_INTERVAL_S: u64 = 2;
+/// Largest accepted duration on the command line, in ms.
+const MAX_DURATION_MS: u64 = 3_600_000;
 const VERSION: &str = concat!("savoryvanectl ", env!("CARGO_PKG_VERSION"));
 
 /// Runs the program.
@@ -54,17 +54,13 @@
 }
 
 fn execute(flags: Savoryvanectl, format: Format) -> Result<()> {
-    if let SavoryvanectlCmd::Explain(explained) = &flags.subcommand {
-        return explain(
-            &explained.request,
-            io::stdin().lock(),
-            &mut io::stdout().lock(),
-        );
+    if let SavoryvanectlCmd::Explain(args) = &flags.subcommand {
+        return explain(&args.request, io::stdin().lock(), &mut io::stdout().lock());
     }
-    if let SavoryvanectlCmd::Account(accounted) = &flags.subcommand {
+    if let SavoryvanectlCmd::Account(args) = &flags.subcommand {
         return account(
-            accounted.every_s.unwrap_or(DEFAULT_EVERY_S).max(1),
-            accounted.svg.as_deref(),
+            args.every_s.unwrap_or(DEFAULT_INTERVAL_S).max(1),
+            args.svg.as_deref(),
             io::stdin().lock(),
             &mut io::stdout().lock(),
         );
@@ -94,7 +90,7 @@
     Ok(Settings {
         admins: addresses(&admins)?,
         credential: Credential::load(credential_file)?,
-        timeout_ms: time_ms("--timeout-ms", flags.timeout_ms, DEFAULT_TIMEOUT_MS, 1)?,
+        timeout_ms: duration_ms("--timeout-ms", flags.timeout_ms, DEFAULT_TIMEOUT_MS, 1)?,
         format,
     })
 }
@@ -113,18 +109,18 @@
     Ok(addrs)
 }
 
-fn time_ms(flag: &str, given: Option<u64>, default: u64, least: u64) -> Result<u64> {
+fn duration_ms(flag: &str, given: Option<u64>, default: u64, min_ms: u64) -> Result<u64> {
     let ms = given.unwrap_or(default);
-    if (least..=MAX_TIME_MS).contains(&ms) {
+    if (min_ms..=MAX_DURATION_MS).contains(&ms) {
         return Ok(ms);
     }
-    let allowed = format!("allowed: {least} to {MAX_TIME_MS}");
+    let allowed = format!("allowed: {min_ms} to {MAX_DURATION_MS}");
     Err(Error::Usage(format!("{flag} {ms}; {allowed}")))
 }
 
 fn command(flags: &SavoryvanectlCmd) -> Result<Command> {
     Ok(match flags {
-        // All but the last are done with before a command is made of them.
+        // The first three never get here: `run` and `execute` handle them earlier.
         SavoryvanectlCmd::Help(_)
         | SavoryvanectlCmd::Explain(_)
         | SavoryvanectlCmd::Account(_)
@@ -135,10 +131,10 @@
         SavoryvanectlCmd::Pipelines(_) => Command::Objects(ObjectList::Pipelines),
         SavoryvanectlCmd::Pools(_) => Command::Objects(ObjectList::Pools),
         SavoryvanectlCmd::Models(_) => Command::Objects(ObjectList::Models),
-        SavoryvanectlCmd::Plan(plan) => Command::Plan(planned(plan)?),
-        SavoryvanectlCmd::Confirm(confirm) => Command::Confirm(confirmed(confirm)?),
+        SavoryvanectlCmd::Plan(plan) => Command::Plan(plan_args(plan)?),
+        SavoryvanectlCmd::Confirm(confirm) => Command::Confirm(confirm_args(confirm)?),
         SavoryvanectlCmd::History(_) => Command::History,
-        SavoryvanectlCmd::Costs(costs) => Command::Costs(cost_report(costs)?),
+        SavoryvanectlCmd::Costs(costs) => Command::Costs(costs_args(costs)?),
         SavoryvanectlCmd::Drain(drain) => {
             let name = name("instance", &drain.instance)?;
             Command::Drain(InstanceName::new(name))
@@ -146,27 +142,27 @@
     })
 }
 
-fn planned(flags: &flags::Plan) -> Result<Planned> {
+fn plan_args(flags: &flags::Plan) -> Result<PlanArgs> {
     let operator = match &flags.operator {
         Some(text) => Some(OperatorName::new(name("operator", text)?)),
         None => None,
     };
-    Ok(Planned {
+    Ok(PlanArgs {
         intent: flags.file.clone(),
         output: flags.output.clone(),
         operator,
     })
 }
 
-fn confirmed(flags: &flags::Confirm) -> Result<Confirmed> {
-    Ok(Confirmed {
+fn confirm_args(flags: &flags::Confirm) -> Result<ConfirmArgs> {
+    Ok(ConfirmArgs {
         plan: flags.plan.clone(),
         yes: flags.yes,
-        wait_ms: time_ms("--wait-ms", flags.wait_ms, DEFAULT_WAIT_MS, 0)?,
+        wait_ms: duration_ms("--wait-ms", flags.wait_ms, DEFAULT_WAIT_MS, 0)?,
     })
 }
 
-fn cost_report(flags: &flags::Costs) -> Result<Costs> {
+fn costs_args(flags: &flags::Costs) -> Result<CostsArgs> {
     let grouping = match flags.by.as_deref() {
         None => Grouping::Full,
         Some("stage") => Grouping::Stage,
@@ -182,7 +178,7 @@
     } else {
         ReportForm::AsFormat
     };
-    Ok(Costs {
+    Ok(CostsArgs {
         grouping,
         form,
         output: flags.output.clone(),
@@ -198,7 +194,7 @@
     Err(Error::Usage(format!("{what} {text:?}; {allowed}")))
 }
 
-/// Without a command the help is what was asked for.
+/// Prints the help; a command line without a command requests it too.
 fn help() -> ExitCode {
     match Savoryvanectl::from_vec(vec!["--help".into()]) {
         Err(err) if err.is_help() => print(&err.to_string()),
@@ -206,7 +202,7 @@
     }
 }
 
-/// Writes a line; a reader that has gone is no reason to fail.
+/// Writes a line to standard output; ignores errors such as a closed pipe.
 fn print(text: &str) -> ExitCode {
     let _ = writeln!(io::stdout().lock(), "{}", text.trim_end());
     exit(Exit::Done)
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -12,20 +12,20 @@
 
 use crate::settings::Settings;
 
-/// Largest accepted answer, in bytes.
-const MAX_ANSWER_BYTES: usize = 64 << 20;
+/// Largest accepted response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 /// Media type of every body.
 const JSON: &str = "application/json";
 
 quick_error! {
-    /// Why there is no answer.
+    /// Why an exchange has no response.
     #[derive(Debug)]
-    pub enum Fault {
-        /// Nothing was sent.
+    pub enum ExchangeError {
+        /// The request was not sent.
         NotSent(reason: String) {
             display("{reason}")
         }
-        /// The request was sent, its answer did not come.
+        /// The request was sent, but no response arrived.
         Unanswered(reason: String) {
             display("{reason}")
         }
@@ -61,30 +61,30 @@
     }
 }
 
-/// An answer, whatever its status.
+/// A response of any status.
 #[derive(Debug)]
-pub(crate) struct Answer {
+pub(crate) struct Response {
     pub(crate) status: StatusCode,
     pub(crate) body: Bytes,
 }
 
-/// Sends `call` to `addr` and waits for the whole answer.
+/// Sends `call` to `addr` and waits for the whole response.
 pub(crate) async fn exchange(
     settings: &Settings,
     addr: SocketAddr,
     call: &Call,
-) -> Result<Answer, Fault> {
+) -> Result<Response, ExchangeError> {
     let deadline = time::Instant::now() + settings.timeout();
-    let no_time = || format!("no answer within {} ms", settings.timeout_ms);
+    let timed_out = || format!("no answer within {} ms", settings.timeout_ms);
     let stream = match time::timeout_at(deadline, TcpStream::connect(addr)).await {
         Ok(Ok(stream)) => stream,
-        Ok(Err(err)) => return Err(Fault::NotSent(err.to_string())),
-        Err(_) => return Err(Fault::NotSent(no_time())),
+        Ok(Err(err)) => return Err(ExchangeError::NotSent(err.to_string())),
+        Err(_) => return Err(ExchangeError::NotSent(timed_out())),
     };
     let request = request(settings, addr, call)?;
     match time::timeout_at(deadline, send(stream, request)).await {
-        Ok(answer) => answer.map_err(Fault::Unanswered),
-        Err(_) => Err(Fault::Unanswered(no_time())),
+        Ok(result) => result.map_err(ExchangeError::Unanswered),
+        Err(_) => Err(ExchangeError::Unanswered(timed_out())),
     }
 }
 
@@ -92,13 +92,13 @@
     settings: &Settings,
     addr: SocketAddr,
     call: &Call,
-) -> Result<Request<Full<Bytes>>, Fault> {
-    let bearer = format!("Bearer {}", settings.credential.as_str());
+) -> Result<Request<Full<Bytes>>, ExchangeError> {
+    let authorization = format!("Bearer {}", settings.credential.as_str());
     let mut builder = Request::builder()
         .method(&call.method)
         .uri(&call.path)
         .header(header::HOST, addr.to_string())
-        .header(header::AUTHORIZATION, bearer)
+        .header(header::AUTHORIZATION, authorization)
         .header(header::ACCEPT, JSON);
     if let Some((name, value)) = &call.header {
         builder = builder.header(name, value);
@@ -108,21 +108,21 @@
     }
     builder
         .body(Full::new(call.body.clone()))
-        .map_err(|err| Fault::NotSent(err.to_string()))
+        .map_err(|err| ExchangeError::NotSent(err.to_string()))
 }
 
-async fn send(stream: TcpStream, request: Request<Full<Bytes>>) -> Result<Answer, String> {
+async fn send(stream: TcpStream, request: Request<Full<Bytes>>) -> Result<Response, String> {
     let io = TokioIo::new(stream);
     let (mut sender, connection) = http1::handshake(io).await.map_err(|err| err.to_string())?;
-    let _driver = Driver(tokio::spawn(async move {
-        // A fault of the connection comes out at the sender.
+    let _connection_task = ConnectionTask(tokio::spawn(async move {
+        // The sender returns connection errors.
         let _ = connection.await;
     }));
     let response = sender.send_request(request).await.map_err(describe)?;
     let status = response.status();
-    let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES);
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES);
     let body = body.collect().await.map_err(|err| err.to_string())?;
-    Ok(Answer {
+    Ok(Response {
         status,
         body: body.to_bytes(),
     })
@@ -136,10 +136,10 @@
     }
 }
 
-/// Ends the connection's task with the exchange, also when it is given up.
-struct Driver(JoinHandle<()>);
+/// Aborts the connection's task when the exchange ends or is cancelled.
+struct ConnectionTask(JoinHandle<()>);
 
-impl Drop for Driver {
+impl Drop for ConnectionTask {
     fn drop(&mut self) {
         self.0.abort();
     }
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -1,4 +1,4 @@
-//! What the operator asks for.
+//! Commands of the operator.
 
 use std::path::PathBuf;
 
@@ -7,7 +7,7 @@
 /// One command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Shows the state of every instance that was given.
+    /// Shows the state of every given instance.
     Status,
     /// Lists the entry instances.
     Instances,
@@ -15,19 +15,19 @@
     Backends,
     /// Lists configured objects of one kind.
     Objects(ObjectList),
-    /// Makes a plan from an intent.
-    Plan(Planned),
+    /// Creates a plan from an intent.
+    Plan(PlanArgs),
     /// Puts a plan in force.
-    Confirm(Confirmed),
+    Confirm(ConfirmArgs),
     /// Lists the changes.
     History,
     /// Reports costs.
-    Costs(Costs),
-    /// Asks an instance to leave.
+    Costs(CostsArgs),
+    /// Drains an instance.
     Drain(InstanceName),
 }
 
-/// Kinds of configured objects that have a list of their own.
+/// Kinds of configured objects that can be listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObjectList {
     /// Workspaces.
@@ -40,59 +40,59 @@
     Models,
 }
 
-/// What to plan.
+/// Arguments of [`Command::Plan`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Planned {
+pub struct PlanArgs {
     /// File with the intent, in YAML.
     pub intent: PathBuf,
     /// File to write the plan to.
     pub output: Option<PathBuf>,
-    /// Who asks for it.
+    /// Name of the operator.
     pub operator: Option<OperatorName>,
 }
 
-/// What to confirm.
+/// Arguments of [`Command::Confirm`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Confirmed {
+pub struct ConfirmArgs {
     /// File with the plan.
     pub plan: PathBuf,
-    /// Whether to go on without asking, also on a terminal.
+    /// Whether to skip the prompt on a terminal.
     pub yes: bool,
-    /// Longest wait for every listed instance to have it in force, in ms.
+    /// Maximum time to wait until every listed instance has it in force, in ms.
     pub wait_ms: u64,
 }
 
-/// What to report on.
+/// Arguments of [`Command::Costs`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Costs {
+pub struct CostsArgs {
     /// Which lines are summed into one.
     pub grouping: Grouping,
-    /// Form of the report.
+    /// Output form of the report.
     pub form: ReportForm,
     /// File to write the report to.
     pub output: Option<PathBuf>,
-    /// Whether to report also when an instance can't be reached.
+    /// Whether to report even if an instance can't be reached.
     pub partial: bool,
 }
 
 /// Which cost lines are summed into one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Grouping {
-    /// None: one line for each workspace, pipeline and stage.
+    /// Lines of the same workspace, pipeline and stage.
     #[default]
     Full,
-    /// Those of the same pipeline and stage.
+    /// Lines of the same pipeline and stage.
     Stage,
-    /// Those of the same pipeline.
+    /// Lines of the same pipeline.
     Pipeline,
-    /// Those of the same workspace.
+    /// Lines of the same workspace.
     Workspace,
 }
 
-/// Form of a cost report.
+/// Output form of a cost report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReportForm {
-    /// As [`Format`](crate::Format) says: a table or JSON.
+    /// A table or JSON, as set by [`Format`](crate::Format).
     #[default]
     AsFormat,
     /// Comma-separated values.
--- a/crates/ctl/src/confirm.rs
+++ b/crates/ctl/src/confirm.rs
@@ -8,53 +8,55 @@
 
 use crate::{
     admin::Admin,
-    client::Fault,
+    client::ExchangeError,
     error::{Error, Result},
     settings::Settings,
 };
 
-/// Times that the list of addresses is gone through.
+/// Number of times that each address is tried.
 const ROUNDS: u32 = 3;
 /// Time between two rounds.
-const ROUND_PAUSE: Duration = Duration::from_millis(300);
-/// Time between two questions about where a change is in force.
-const REACH_PAUSE: Duration = Duration::from_millis(100);
+const ROUND_INTERVAL: Duration = Duration::from_millis(300);
+/// Time between two polls of where a change is in force.
+const REACH_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Sends `plan` until an instance has answered. A repeat is safe, since the
-/// change keeps its identifier and takes effect once.
+/// Sends `plan` until an instance reports the result. A retry is safe, since the
+/// change has the same identifier and takes effect once.
 ///
 /// # Errors
 ///
-/// Fails with [`Error::Unknown`] when an instance may have taken the plan and
-/// none said what became of it.
+/// Returns [`Error::Unknown`] when an instance may have accepted the plan and none
+/// reported the result.
 pub(crate) async fn confirm(settings: &Settings, plan: &Plan) -> Result<Confirmation> {
-    let mut doubt = None;
+    let mut unknown_reason = None;
     let mut failures = Vec::new();
     for round in 0..ROUNDS {
         if round > 0 {
-            time::sleep(ROUND_PAUSE).await;
+            time::sleep(ROUND_INTERVAL).await;
         }
         failures.clear();
         for &addr in &settings.admins {
             match attempt(settings, addr, plan).await {
-                Attempt::Decided(result) if doubt.is_none() || is_verdict(&result) => {
+                Attempt::Decided(result) if unknown_reason.is_none() || is_decisive(&result) => {
                     return result;
                 }
-                // It says nothing about the attempt that is in doubt.
+                // This response does not settle the earlier attempt with an unknown result.
                 Attempt::Decided(_) => {}
                 Attempt::NotSent(reason) => failures.push((addr, reason)),
-                Attempt::InDoubt(reason) => doubt = Some(format!("{addr}: {reason}")),
+                Attempt::ResultUnknown(reason) => {
+                    unknown_reason = Some(format!("{addr}: {reason}"))
+                }
             }
         }
     }
-    Err(match doubt {
+    Err(match unknown_reason {
         Some(reason) => Error::Unknown(plan.change.id.clone(), reason),
         None => Error::Unreachable(failures),
     })
 }
 
-/// Tells whether `result` says what became of the change itself.
-fn is_verdict(result: &Result<Confirmation>) -> bool {
+/// Returns whether `result` settles the change itself, whichever attempt it answers.
+fn is_decisive(result: &Result<Confirmation>) -> bool {
     match result {
         Ok(_) => true,
         Err(Error::Refused(_, status, _)) => matches!(
@@ -65,29 +67,29 @@
     }
 }
 
-/// What became of one attempt.
+/// Result of one attempt.
 enum Attempt {
     Decided(Result<Confirmation>),
     NotSent(String),
-    InDoubt(String),
+    ResultUnknown(String),
 }
 
 async fn attempt(settings: &Settings, addr: SocketAddr, plan: &Plan) -> Attempt {
     match Admin::new(settings).confirm_at(addr, plan).await {
         Ok(Err(Error::Refused(_, status, body))) if status.is_server_error() => {
-            Attempt::InDoubt(body.error)
+            Attempt::ResultUnknown(body.error)
         }
         Ok(Err(Error::BadAnswer(_, status, reason))) if !status.is_client_error() => {
-            Attempt::InDoubt(reason)
+            Attempt::ResultUnknown(reason)
         }
         Ok(result) => Attempt::Decided(result),
-        Err(Fault::NotSent(reason)) => Attempt::NotSent(reason),
-        Err(Fault::Unanswered(reason)) => Attempt::InDoubt(reason),
+        Err(ExchangeError::NotSent(reason)) => Attempt::NotSent(reason),
+        Err(ExchangeError::Unanswered(reason)) => Attempt::ResultUnknown(reason),
     }
 }
 
 /// Waits until every listed instance has the change in force, for at most
-/// `wait_ms`; returns how far it has come.
+/// `wait_ms`; returns the last known reach.
 pub(crate) async fn await_reach(
     settings: &Settings,
     confirmation: &Confirmation,
@@ -95,18 +97,18 @@
 ) -> Reach {
     let deadline = Instant::now() + Duration::from_millis(wait_ms);
     let mut reach = confirmation.reach.clone();
-    while !is_everywhere(&reach) && Instant::now() + REACH_PAUSE <= deadline {
-        time::sleep(REACH_PAUSE).await;
-        let asked = Admin::new(settings).reach(confirmation.offset);
-        // An instance that does not answer now may answer later.
-        if let Ok(Ok(newer)) = time::timeout_at(deadline, asked).await {
-            reach = newer;
+    while !is_in_force_everywhere(&reach) && Instant::now() + REACH_POLL_INTERVAL <= deadline {
+        time::sleep(REACH_POLL_INTERVAL).await;
+        let query = Admin::new(settings).reach(confirmation.offset);
+        // An instance that fails to respond now may respond to the next poll.
+        if let Ok(Ok(current)) = time::timeout_at(deadline, query).await {
+            reach = current;
         }
     }
     reach
 }
 
-/// Tells whether every listed instance has the change in force.
-pub(crate) fn is_everywhere(reach: &Reach) -> bool {
+/// Returns whether every listed instance has the change in force.
+pub(crate) fn is_in_force_everywhere(reach: &Reach) -> bool {
     reach.listed > 0 && reach.in_force >= reach.listed && reach.missing.is_empty()
 }
--- a/crates/ctl/src/controller.rs
+++ b/crates/ctl/src/controller.rs
@@ -1,4 +1,4 @@
-//! Carries out commands.
+//! Executes commands.
 
 use std::io::{BufRead, IsTerminal, Write};
 
@@ -9,8 +9,8 @@
 
 use crate::{
     admin::{self, Admin},
-    books::{self, Books},
-    command::{Command, Confirmed, Costs, ObjectList, Planned, ReportForm},
+    collected_costs::{self, CollectedCosts},
+    command::{Command, ConfirmArgs, CostsArgs, ObjectList, PlanArgs, ReportForm},
     confirm,
     costs::Report,
     error::{Error, Result},
@@ -19,8 +19,8 @@
     view,
 };
 
-/// Carries out one command and writes what it found to `out`, and what the
-/// operator should know beside that to `notes`.
+/// Executes commands and writes results to `out` and additional messages for the
+/// operator to `notes`.
 pub struct Controller<'a> {
     settings: &'a Settings,
     out: &'a mut dyn Write,
@@ -28,7 +28,7 @@
 }
 
 impl<'a> Controller<'a> {
-    /// Prepares to carry out commands as `settings` say.
+    /// Creates a controller with `settings`.
     pub fn new(settings: &'a Settings, out: &'a mut dyn Write, notes: &'a mut dyn Write) -> Self {
         Self {
             settings,
@@ -37,11 +37,11 @@
         }
     }
 
-    /// Carries out `command`.
+    /// Executes `command`.
     ///
     /// # Errors
     ///
-    /// Returns why it was not, or not wholly, carried out.
+    /// Returns an error when the command fails or only a part of it succeeds.
     pub async fn run(&mut self, command: &Command) -> Result<()> {
         match command {
             Command::Status => self.status().await,
@@ -54,19 +54,19 @@
                 self.show(&views, || view::backends(&views))
             }
             Command::Objects(list) => self.objects(*list).await,
-            Command::Plan(planned) => self.plan(planned).await,
-            Command::Confirm(confirmed) => self.confirm(confirmed).await,
+            Command::Plan(args) => self.plan(args).await,
+            Command::Confirm(args) => self.confirm(args).await,
             Command::History => {
                 let entries = self.admin().history().await?;
                 self.show(&entries, || view::history(&entries))
             }
-            Command::Costs(costs) => self.costs(costs).await,
+            Command::Costs(args) => self.costs(args).await,
             Command::Drain(instance) => self.drain(instance).await,
         }
     }
 
     async fn status(&mut self) -> Result<()> {
-        let (statuses, failures) = admin::split(self.admin().statuses().await)?;
+        let (statuses, failures) = admin::split_unreachable(self.admin().statuses().await)?;
         let listed: Vec<&Status> = statuses.iter().map(|(_, status)| status).collect();
         if !listed.is_empty() {
             self.show(&listed, || view::statuses(&statuses))?;
@@ -87,17 +87,14 @@
         self.show(&listed, || view::objects(list, &objects))
     }
 
-    async fn plan(&mut self, planned: &Planned) -> Result<()> {
-        let intent = intent::load(&planned.intent)?;
-        let plan = self
-            .admin()
-            .plan(&intent, planned.operator.as_ref())
-            .await?;
-        if let Some(path) = &planned.output {
+    async fn plan(&mut self, args: &PlanArgs) -> Result<()> {
+        let intent = intent::load(&args.intent)?;
+        let plan = self.admin().plan(&intent, args.operator.as_ref()).await?;
+        if let Some(path) = &args.output {
             plan::save(path, &plan)?;
         }
         self.show(&plan, || plan::render(&plan))?;
-        match &planned.output {
+        match &args.output {
             Some(path) => self.note(&format!(
                 "Nothing is in force yet. To put it in force: savoryvanectl confirm {}",
                 path.display()
@@ -106,17 +103,16 @@
         }
     }
 
-    async fn confirm(&mut self, confirmed: &Confirmed) -> Result<()> {
-        let plan = plan::load(&confirmed.plan)?;
+    async fn confirm(&mut self, args: &ConfirmArgs) -> Result<()> {
+        let plan = plan::load(&args.plan)?;
         self.note(plan::render(&plan).trim_end())?;
-        if !confirmed.yes && std::io::stdin().is_terminal() {
-            self.ask(&plan)?;
+        if !args.yes && std::io::stdin().is_terminal() {
+            self.prompt(&plan)?;
         }
         let mut confirmation = confirm::confirm(self.settings, &plan).await?;
-        confirmation.reach =
-            confirm::await_reach(self.settings, &confirmation, confirmed.wait_ms).await;
-        self.show(&confirmation, || accepted(&confirmation))?;
-        if confirm::is_everywhere(&confirmation.reach) {
+        confirmation.reach = confirm::await_reach(self.settings, &confirmation, args.wait_ms).await;
+        self.show(&confirmation, || render_confirmation(&confirmation))?;
+        if confirm::is_in_force_everywhere(&confirmation.reach) {
             Ok(())
         } else {
             let Confirmation { id, reach, .. } = confirmation;
@@ -124,7 +120,7 @@
         }
     }
 
-    fn ask(&mut self, plan: &Plan) -> Result<()> {
+    fn prompt(&mut self, plan: &Plan) -> Result<()> {
         write!(self.notes, "Put {} in force? [y/N] ", plan.change.id)?;
         self.notes.flush()?;
         let mut answer = String::new();
@@ -135,15 +131,15 @@
         }
     }
 
-    async fn costs(&mut self, costs: &Costs) -> Result<()> {
-        let books = books::collect(self.settings).await?;
-        if !books.unreachable.is_empty() && !costs.partial {
-            return Err(Error::Unreachable(books.unreachable));
+    async fn costs(&mut self, args: &CostsArgs) -> Result<()> {
+        let costs = collected_costs::collect(self.settings).await?;
+        if !costs.unreachable.is_empty() && !args.partial {
+            return Err(Error::Unreachable(costs.unreachable));
         }
-        self.note_missing(&books)?;
-        let report = Report::sum(&books, costs.grouping);
-        let text = self.render_costs(costs, &report);
-        match &costs.output {
+        self.note_missing_instances(&costs)?;
+        let report = Report::sum(&costs, args.grouping);
+        let text = self.render_costs(args, &report);
+        match &args.output {
             None => self.write(&text),
             Some(path) => {
                 file::write(path, &text)?;
@@ -152,14 +148,14 @@
         }
     }
 
-    fn note_missing(&mut self, books: &Books) -> Result<()> {
-        if !books.unreachable.is_empty() {
-            let addrs = books.unreachable.iter().map(|(addr, _)| addr.to_string());
+    fn note_missing_instances(&mut self, costs: &CollectedCosts) -> Result<()> {
+        if !costs.unreachable.is_empty() {
+            let addrs = costs.unreachable.iter().map(|(addr, _)| addr.to_string());
             let addrs = addrs.collect::<Vec<_>>().join(", ");
             self.note(&format!("The report is partial: no answer from {addrs}."))?;
         }
-        if !books.not_asked.is_empty() {
-            let names = books.not_asked.iter().map(|name| name.as_str());
+        if !costs.not_asked.is_empty() {
+            let names = costs.not_asked.iter().map(|name| name.as_str());
             let names = names.collect::<Vec<_>>().join(", ");
             self.note(&format!(
                 "Not asked, so not in the sums: {names}. Add their addresses to --admin."
@@ -168,28 +164,28 @@
         Ok(())
     }
 
-    fn render_costs(&self, costs: &Costs, report: &Report) -> String {
-        match (costs.form, self.settings.format) {
+    fn render_costs(&self, args: &CostsArgs, report: &Report) -> String {
+        match (args.form, self.settings.format) {
             (ReportForm::Csv, _) => report::csv(report),
-            (ReportForm::AsFormat, Format::Json) => pretty(report),
-            (ReportForm::AsFormat, Format::Human) => report::table(report, costs.grouping),
+            (ReportForm::AsFormat, Format::Json) => to_pretty_json(report),
+            (ReportForm::AsFormat, Format::Human) => report::table(report, args.grouping),
         }
     }
 
     async fn drain(&mut self, instance: &InstanceName) -> Result<()> {
         let mut failures = Vec::new();
-        let mut doubt = None;
+        let mut unknown_result = None;
         for &addr in &self.settings.admins {
             match self.admin().drain(addr, instance).await {
-                Ok(()) => return self.drained(instance),
-                // Another instance answers there.
+                Ok(()) => return self.show_drained(instance),
+                // The address belongs to another instance.
                 Err(Error::Refused(_, StatusCode::CONFLICT, _)) => {}
                 Err(Error::Unreachable(failure)) => failures.extend(failure),
-                Err(err @ Error::DrainUnknown(..)) => doubt = Some(err),
+                Err(err @ Error::DrainUnknown(..)) => unknown_result = Some(err),
                 Err(err) => return Err(err),
             }
         }
-        if let Some(err) = doubt {
+        if let Some(err) = unknown_result {
             return Err(err);
         }
         Err(if failures.is_empty() {
@@ -199,7 +195,7 @@
         })
     }
 
-    fn drained(&mut self, instance: &InstanceName) -> Result<()> {
+    fn show_drained(&mut self, instance: &InstanceName) -> Result<()> {
         let drain = savoryvane_wire::admin::Drain {
             instance: instance.clone(),
         };
@@ -215,7 +211,7 @@
     fn show<T: Serialize>(&mut self, value: &T, human: impl FnOnce() -> String) -> Result<()> {
         let text = match self.settings.format {
             Format::Human => human(),
-            Format::Json => pretty(value),
+            Format::Json => to_pretty_json(value),
         };
         self.write(&text)
     }
@@ -230,7 +226,7 @@
     }
 }
 
-fn accepted(confirmation: &Confirmation) -> String {
+fn render_confirmation(confirmation: &Confirmation) -> String {
     let Confirmation { id, offset, reach } = confirmation;
     let (offset, reach): (&Offset, &Reach) = (offset, reach);
     format!(
@@ -239,7 +235,7 @@
     )
 }
 
-fn pretty<T: Serialize>(value: &T) -> String {
+fn to_pretty_json<T: Serialize>(value: &T) -> String {
     let mut text = serde_json::to_string_pretty(value).expect("results have string keys only");
     text.push('\n');
     text
--- a/crates/ctl/src/costs.rs
+++ b/crates/ctl/src/costs.rs
@@ -1,4 +1,4 @@
-//! Sums of cost lines, with shares and wasted work apart.
+//! Sums of cost lines, with cost shares and the cost of wasted work.
 
 use std::{cmp::Reverse, collections::BTreeMap, net::SocketAddr};
 
@@ -6,22 +6,22 @@
 use savoryvane_wire::admin::CostLine;
 use serde::Serialize;
 
-use crate::{books::Books, command::Grouping};
+use crate::{collected_costs::CollectedCosts, command::Grouping};
 
-/// What was spent, in total or on one group.
+/// Sum of cost lines, in total or for one group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub(crate) struct Spent {
+pub(crate) struct CostSum {
     /// Calls sent.
     pub(crate) calls: u64,
     /// Busy time, in µs.
     pub(crate) busy_us: u64,
-    /// Cost, in millionths of the accounting currency; wasted work is included.
+    /// Cost, in millionths of the accounting currency, including wasted work.
     pub(crate) cost_micros: u64,
-    /// Part of the cost whose work was not used.
+    /// Part of the cost whose work was not used, in the same unit.
     pub(crate) wasted_micros: u64,
 }
 
-impl Spent {
+impl CostSum {
     fn add(&mut self, line: &CostLine) {
         self.calls = self.calls.saturating_add(line.calls);
         self.busy_us = self.busy_us.saturating_add(line.busy_us);
@@ -40,7 +40,7 @@
     }
 }
 
-/// One line of a report; what it was summed over is `None`.
+/// One line of a report; the fields that it sums over are `None`.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub(crate) struct Line {
     /// Workspace.
@@ -52,69 +52,70 @@
     /// Stage.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) stage: Option<String>,
-    /// What was spent.
+    /// Sum of the line.
     #[serde(flatten)]
-    pub(crate) spent: Spent,
+    pub(crate) sum: CostSum,
     /// Share in the total cost, in percent.
     pub(crate) share_percent: f64,
     /// Part of this line's cost whose work was not used, in percent.
     pub(crate) wasted_percent: f64,
 }
 
-/// Sums of what the instances have booked.
+/// Cost report over the instances that responded.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub(crate) struct Report {
     /// Lines, the most expensive first.
     pub(crate) lines: Vec<Line>,
     /// Sum of all lines.
-    pub(crate) total: Spent,
-    /// Instances whose books were summed.
+    pub(crate) total: CostSum,
+    /// Instances included in the sums.
     pub(crate) instances: Vec<InstanceName>,
-    /// Addresses whose books are missing.
+    /// Addresses that did not respond.
     pub(crate) unreachable: Vec<SocketAddr>,
-    /// Known instances that were not asked.
+    /// Known instances that were not queried.
     pub(crate) not_asked: Vec<InstanceName>,
 }
 
-type Key = (Option<String>, Option<String>, Option<String>);
+type GroupKey = (Option<String>, Option<String>, Option<String>);
 
 impl Report {
-    /// Sums `books` by `grouping`.
-    pub(crate) fn sum(books: &Books, grouping: Grouping) -> Self {
-        let mut total = Spent::default();
-        let mut groups: BTreeMap<Key, Spent> = BTreeMap::new();
-        for line in &books.lines {
+    /// Sums `costs` by `grouping`.
+    pub(crate) fn sum(costs: &CollectedCosts, grouping: Grouping) -> Self {
+        let mut total = CostSum::default();
+        let mut groups: BTreeMap<GroupKey, CostSum> = BTreeMap::new();
+        for line in &costs.lines {
             total.add(line);
-            groups.entry(key(line, grouping)).or_default().add(line);
+            groups
+                .entry(group_key(line, grouping))
+                .or_default()
+                .add(line);
         }
-        let lines = groups
-            .into_iter()
-            .map(|(key, spent)| line(key, spent, total));
+        let lines = groups.into_iter().map(|(key, sum)| line(key, sum, total));
         let mut lines: Vec<Line> = lines.collect();
-        // The sort is stable: lines of the same cost stay in the order of names.
-        lines.sort_by_key(|line| Reverse(line.spent.cost_micros));
+        // The sort is stable: lines of equal cost stay ordered by name.
+        lines.sort_by_key(|line| Reverse(line.sum.cost_micros));
         Self {
             lines,
             total,
-            instances: books.instances.clone(),
-            unreachable: books.unreachable.iter().map(|(addr, _)| *addr).collect(),
-            not_asked: books.not_asked.clone(),
+            instances: costs.instances.clone(),
+            unreachable: costs.unreachable.iter().map(|(addr, _)| *addr).collect(),
+            not_asked: costs.not_asked.clone(),
         }
     }
 }
 
-fn line((workspace, pipeline, stage): Key, spent: Spent, total: Spent) -> Line {
+fn line((workspace, pipeline, stage): GroupKey, sum: CostSum, total: CostSum) -> Line {
     Line {
         workspace,
         pipeline,
         stage,
-        spent,
-        share_percent: percent(spent.cost_micros, total.cost_micros),
-        wasted_percent: spent.wasted_percent(),
+        sum,
+        share_percent: percent(sum.cost_micros, total.cost_micros),
+        wasted_percent: sum.wasted_percent(),
     }
 }
 
-fn key(line: &CostLine, grouping: Grouping) -> Key {
+fn group_key(line: &CostLine, grouping: Grouping) -> GroupKey {
     let workspace = Some(line.workspace.to_string());
     let pipeline = Some(line.pipeline.to_string());
     let stage = Some(line.stage.to_string());
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,4 +1,4 @@
-//! The one error type, with what to do next and the exit code of each.
+//! The error type, with the exit code and the next step for each error.
 
 use std::{io, net::SocketAddr, path::PathBuf};
 
@@ -13,13 +13,13 @@
 /// Result of an operation of the command line.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Exit codes of `savoryvanectl`, as its help and the operators' page list them.
+/// Exit codes of `savoryvanectl`; its help and the operators' page list them too.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Exit {
     /// Done.
     Done = 0,
-    /// Something else failed, such as a file that can't be read.
+    /// Any other failure, such as a file that can't be read.
     Failed = 1,
     /// The command line is wrong.
     Usage = 2,
@@ -31,16 +31,16 @@
     Conflict = 5,
     /// The credential was refused.
     Unauthorized = 6,
-    /// A confirm or drain may have been taken or not; it may be repeated.
+    /// It is unknown whether a confirm or drain took effect; it may be repeated.
     Unknown = 7,
-    /// A change is accepted, but not yet seen in force everywhere.
+    /// A change is accepted, but not yet known to be in force on every instance.
     NotEverywhere = 8,
-    /// The operator did not agree.
+    /// The operator declined the plan.
     Declined = 9,
 }
 
 quick_error! {
-    /// Why a command was not carried out.
+    /// Why a command failed.
     #[derive(Debug)]
     #[non_exhaustive]
     pub enum Error {
@@ -58,7 +58,7 @@
             display("{}: can't be written: {err}", path.display())
             source(err)
         }
-        /// Standard output or input can't be used.
+        /// Standard output or input failed.
         Terminal(err: io::Error) {
             from()
             display("standard input or output: {err}")
@@ -68,19 +68,19 @@
         NoSuchRequest(request: String) {
             display("no log line names the request {}", printable(request))
         }
-        /// A credential file has no credential.
+        /// A credential file has no usable credential.
         Credential(path: PathBuf) {
             display("{}: the first line is not a credential of printable ASCII characters", path.display())
         }
-        /// The intent has problems; every one is listed.
+        /// The intent is invalid; all its problems are listed.
         Intent(problems: Problems) {
             display("{problems}")
         }
-        /// A plan file is not a plan.
+        /// A plan file does not hold a plan.
         NotAPlan(path: PathBuf, reason: String) {
             display("{}: not a plan: {reason}", path.display())
         }
-        /// None of the addresses gave an answer.
+        /// The listed addresses did not respond.
         Unreachable(failures: Vec<(SocketAddr, String)>) {
             display("no answer from {}", list_failures(failures))
         }
@@ -88,27 +88,27 @@
         Refused(addr: SocketAddr, status: StatusCode, body: AdminError) {
             display("refused by {addr} ({}): {}", status.as_u16(), printable(&body.error))
         }
-        /// An instance's answer is not one of this interface.
+        /// A response is not one of the operators' interface.
         BadAnswer(addr: SocketAddr, status: StatusCode, reason: String) {
             display("{addr} gave an answer that is not of the operators' interface (status {}): {reason}", status.as_u16())
         }
-        /// A drain was sent, but its answer did not come.
+        /// A drain was sent, but no response arrived.
         DrainUnknown(addr: SocketAddr, reason: String) {
             display("{addr} may be leaving or not: {reason}")
         }
-        /// A confirm was sent, but its answer did not come.
+        /// A confirm was sent, but no response reported its result.
         Unknown(id: ChangeId, reason: String) {
             display("change {id} is not known to be in force: {}", printable(reason))
         }
-        /// A change is accepted, but was not seen in force everywhere.
+        /// A change is accepted, but not yet known to be in force on every instance.
         NotEverywhere(id: ChangeId, reach: Reach) {
             display("change {id} is accepted, but in force on {} of {} listed instances only", reach.in_force, reach.listed)
         }
-        /// None of the instances that were asked is the one to drain.
+        /// None of the given addresses belongs to the instance to drain.
         NotFound(instance: InstanceName) {
             display("none of the given addresses is instance {instance}")
         }
-        /// The operator did not agree to a plan.
+        /// The operator declined the plan.
         Declined {
             display("not confirmed; nothing was changed")
         }
@@ -124,7 +124,7 @@
 }
 
 impl Error {
-    /// Returns the code that the process exits with.
+    /// Returns the exit code of the process.
     pub fn exit(&self) -> Exit {
         match self {
             Self::Usage(_) => Exit::Usage,
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -1,5 +1,5 @@
-//! Explains a request from the log lines of all instances: what each decided,
-//! and what it knew then.
+//! Explains a request from the log lines of all instances: what each instance
+//! decided, and its state at that time.
 
 use std::io::{BufRead, Write};
 
@@ -10,8 +10,8 @@
     log_line::LogLine,
 };
 
-/// Messages that say what an instance believes, not what it did with a request.
-const BELIEFS: [&str; 15] = [
+/// Messages about the state of an instance rather than about a request.
+const STATE_MESSAGES: [&str; 15] = [
     "configuration in force",
     "draining",
     "instance started",
@@ -28,90 +28,96 @@
     "store regained",
     "zones passed over",
 ];
-/// Messages that say what counts for or against a request, under whichever identifier
-/// it came.
-const ENDS: [&str; 3] = [
+/// Messages about crashes and quarantine of a request; matched by the request's digest,
+/// since copies of it may have other identifiers.
+const CRASH_MESSAGES: [&str; 3] = [
     "quarantine kept",
     "server crashed under request",
     "suspect cleared",
 ];
-/// Beliefs of an instance that are shown from before a request's first line.
-const BELIEFS_BEFORE: usize = 5;
-/// Fields that are shown in columns of their own, or say nothing more.
-const SHOWN: [&str; 6] = ["msg", "level", "ts", "zone", "instance", "request"];
+/// Maximum number of state lines per instance shown from before the request's first line.
+const MAX_STATE_LINES_BEFORE: usize = 5;
+/// Fields left out of the list of fields: they have their own column or add nothing.
+const OMITTED_FIELDS: [&str; 6] = ["msg", "level", "ts", "zone", "instance", "request"];
 
 /// Reads log lines, one JSON object each, and writes those that explain
-/// `request` in the order of their time: its own, and what the instances that
-/// had it believed. Of a request that was refused since servers ended under it, these
-/// ends are shown too, at whichever instance and under whichever identifier it ran then.
-/// Lines that are not of a log are passed over.
+/// `request` in order of time: its own lines, and the state lines of the instances
+/// that handled it. For a request that was refused because servers crashed under it, the
+/// lines about these crashes are shown too, from any instance and for any identifier.
+/// Lines that are not log lines are skipped.
 ///
 /// # Errors
 ///
 /// Returns [`Error::NoSuchRequest`] when no line names the request.
 pub fn explain(request: &str, logs: impl BufRead, out: &mut impl Write) -> Result<()> {
     let mut lines: Vec<LogLine> = Vec::new();
-    for text in logs.lines() {
-        lines.extend(LogLine::parse(&text?));
+    for line in logs.lines() {
+        lines.extend(LogLine::parse(&line?));
     }
-    lines.sort_by(|a, b| a.order().cmp(b.order()));
-    let is_own = |line: &&LogLine| line.text("request") == Some(request);
-    let own: Vec<&LogLine> = lines.iter().filter(is_own).collect();
-    let (Some(first), Some(last)) = (own.first(), own.last()) else {
+    lines.sort_by(|a, b| a.sort_key().cmp(b.sort_key()));
+    let is_of_request = |line: &&LogLine| line.text("request") == Some(request);
+    let request_lines: Vec<&LogLine> = lines.iter().filter(is_of_request).collect();
+    let (Some(first), Some(last)) = (request_lines.first(), request_lines.last()) else {
         return Err(Error::NoSuchRequest(request.to_owned()));
     };
-    let mut shown: Vec<&LogLine> = own.clone();
-    let mut instances: Vec<&str> = own.iter().map(|line| line.instance.as_str()).collect();
+    let mut selected: Vec<&LogLine> = request_lines.clone();
+    let mut instances: Vec<&str> = request_lines
+        .iter()
+        .map(|line| line.instance.as_str())
+        .collect();
     instances.sort_unstable();
     instances.dedup();
     for instance in instances {
-        let beliefs = lines
-            .iter()
-            .filter(|line| line.instance == instance && BELIEFS.contains(&line.message.as_str()));
+        let state_lines = lines.iter().filter(|line| {
+            line.instance == instance && STATE_MESSAGES.contains(&line.message.as_str())
+        });
         let (before, after): (Vec<&LogLine>, Vec<&LogLine>) =
-            beliefs.partition(|line| line.order() < first.order());
-        shown.extend(before.iter().rev().take(BELIEFS_BEFORE));
-        shown.extend(
+            state_lines.partition(|line| line.sort_key() < first.sort_key());
+        selected.extend(before.iter().rev().take(MAX_STATE_LINES_BEFORE));
+        selected.extend(
             after
                 .into_iter()
-                .filter(|line| line.order() <= last.order()),
+                .filter(|line| line.sort_key() <= last.sort_key()),
         );
     }
-    shown.extend(ends_before(&lines, &own));
-    shown.sort_by(|a, b| a.order().cmp(b.order()));
-    for line in shown {
+    selected.extend(crash_lines_before(&lines, &request_lines));
+    selected.sort_by(|a, b| a.sort_key().cmp(b.sort_key()));
+    for line in selected {
         writeln!(out, "{}", render(line))?;
     }
     Ok(())
 }
 
-/// Returns what was known against a request when it was refused, if that was the reason.
-fn ends_before<'a>(lines: &'a [LogLine], own: &[&LogLine]) -> Vec<&'a LogLine> {
-    let refused = own.iter().find(|line| line.text("ends_from").is_some());
+/// Returns the lines about crashes that led to the refusal of a request, if it was refused
+/// for that reason.
+fn crash_lines_before<'a>(lines: &'a [LogLine], request_lines: &[&LogLine]) -> Vec<&'a LogLine> {
+    let refused = request_lines
+        .iter()
+        .find(|line| line.text("ends_from").is_some());
     let Some((refused, digest)) = refused.and_then(|line| Some((line, line.text("digest")?)))
     else {
         return Vec::new();
     };
-    let is_end = |line: &&LogLine| {
-        ENDS.contains(&line.message.as_str())
+    let is_crash_line = |line: &&LogLine| {
+        CRASH_MESSAGES.contains(&line.message.as_str())
             && line.text("digest") == Some(digest)
             && line.text("request") != refused.text("request")
-            && line.order() <= refused.order()
+            && line.sort_key() <= refused.sort_key()
     };
-    lines.iter().filter(is_end).collect()
+    lines.iter().filter(is_crash_line).collect()
 }
 
 fn render(line: &LogLine) -> String {
-    let shown = line
+    let listed_fields = line
         .fields
         .iter()
-        .filter(|(name, value)| !SHOWN.contains(&name.as_str()) && !value.is_null());
-    let fields: Vec<String> = shown
+        .filter(|(name, value)| !OMITTED_FIELDS.contains(&name.as_str()) && !value.is_null());
+    let fields: Vec<String> = listed_fields
         .map(|(name, value)| match value {
             Value::String(text) => format!("{name}={text}"),
             value => format!("{name}={value}"),
         })
         .collect();
-    let (at, instance, message) = (&line.at, &line.instance, &line.message);
+    let (at, instance, message) = (&line.timestamp, &line.instance, &line.message);
     format!("{at}  {instance}  {message}  {}", fields.join(" "))
 }
--- a/crates/ctl/src/file.rs
+++ b/crates/ctl/src/file.rs
@@ -1,4 +1,4 @@
-//! Reads files within a limit and writes them whole or not at all.
+//! Reads files up to a size limit and writes files atomically.
 
 use std::{
     ffi::OsString,
@@ -9,39 +9,39 @@
 
 use crate::error::{Error, Result};
 
-/// Reads the file at `path`, which must not be longer than `max_bytes`.
+/// Reads the file at `path`; a file longer than `max_bytes` is an error.
 pub(crate) fn read(path: &Path, max_bytes: u64) -> Result<Vec<u8>> {
-    let fail = |err| Error::Read(path.to_owned(), err);
-    let file = File::open(path).map_err(fail)?;
+    let read_error = |err| Error::Read(path.to_owned(), err);
+    let file = File::open(path).map_err(read_error)?;
     let mut bytes = Vec::new();
-    let mut start = file.take(max_bytes + 1);
-    start.read_to_end(&mut bytes).map_err(fail)?;
+    let mut limited = file.take(max_bytes + 1);
+    limited.read_to_end(&mut bytes).map_err(read_error)?;
     if bytes.len() as u64 > max_bytes {
-        return Err(fail(io::Error::other(format!(
+        return Err(read_error(io::Error::other(format!(
             "longer than {max_bytes} bytes"
         ))));
     }
     Ok(bytes)
 }
 
-/// Writes the file at `path`; one that is there is replaced only by the whole of
-/// the new one.
+/// Writes the file at `path` atomically: an existing file is replaced only by the
+/// complete new one.
 pub(crate) fn write(path: &Path, text: &str) -> Result<()> {
-    write_beside(path, text).map_err(|err| Error::Write(path.to_owned(), err))
+    write_and_rename(path, text).map_err(|err| Error::Write(path.to_owned(), err))
 }
 
-fn write_beside(path: &Path, text: &str) -> io::Result<()> {
-    let mut name = OsString::from(path);
-    name.push(format!(".{}.tmp", std::process::id()));
-    let beside = Path::new(&name);
-    let written = File::create_new(beside)
+fn write_and_rename(path: &Path, text: &str) -> io::Result<()> {
+    let mut temp_name = OsString::from(path);
+    temp_name.push(format!(".{}.tmp", std::process::id()));
+    let temp_path = Path::new(&temp_name);
+    let result = File::create_new(temp_path)
         .and_then(|mut file| {
             file.write_all(text.as_bytes())
                 .and_then(|()| file.sync_all())
         })
-        .and_then(|()| fs::rename(beside, path));
-    if written.is_err() {
-        let _ = fs::remove_file(beside);
+        .and_then(|()| fs::rename(temp_path, path));
+    if result.is_err() {
+        let _ = fs::remove_file(temp_path);
     }
-    written
+    result
 }
--- a/crates/ctl/src/intent.rs
+++ b/crates/ctl/src/intent.rs
@@ -1,4 +1,4 @@
-//! Reads an intent file and reports everything that is wrong in it at once.
+//! Reads an intent file and reports all its problems at once.
 
 use std::path::Path;
 
@@ -18,9 +18,9 @@
 
 use crate::error::{Error, Result};
 
-/// Most objects of one kind in an intent.
+/// Maximum number of objects of one kind in an intent.
 const MAX_OBJECTS: usize = 20_000;
-/// Attainment of a workspace that states none.
+/// Attainment of a workspace that does not set one.
 const DEFAULT_ATTAINMENT_PER_MILLE: u32 = 950;
 const PER_MILLE: u32 = 1_000;
 
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the file can't be read, or with every problem in it.
+/// Returns an error when the file can't be read, or one with all its problems.
 pub(crate) fn load(path: &Path) -> Result<Intent> {
     let limits = Limits::default();
     let text = limits
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,11 +1,11 @@
-//! The operator's command line of savoryvane, as a library: settings, commands,
-//! the controller that runs them and the errors with their exit codes.
+//! Library of the operators' command line of savoryvane: settings, commands, the
+//! controller that executes them, and errors with their exit codes.
 
 mod account;
 mod admin;
-mod books;
 mod chart;
 mod client;
+mod collected_costs;
 mod command;
 mod confirm;
 mod controller;
@@ -22,7 +22,7 @@
 mod view;
 
 pub use account::account;
-pub use command::{Command, Confirmed, Costs, Grouping, ObjectList, Planned, ReportForm};
+pub use command::{Command, ConfirmArgs, CostsArgs, Grouping, ObjectList, PlanArgs, ReportForm};
 pub use controller::Controller;
 pub use error::{Error, Exit, Result};
 pub use explain::explain;
--- a/crates/ctl/src/log_line.rs
+++ b/crates/ctl/src/log_line.rs
@@ -1,23 +1,23 @@
-//! One line of the log of an instance.
+//! Parsing of the log lines of an instance.
 
 use serde_json::{Map, Value};
 
-/// One line of a log.
+/// A parsed log line.
 #[derive(Clone, Debug)]
 pub(crate) struct LogLine {
-    /// Time of day, as the instance wrote it.
-    pub(crate) at: String,
-    /// The instance.
+    /// Timestamp, as written by the instance.
+    pub(crate) timestamp: String,
+    /// Name of the instance.
     pub(crate) instance: String,
-    /// What happened.
+    /// Log message.
     pub(crate) message: String,
     /// All other fields.
     pub(crate) fields: Map<String, Value>,
 }
 
 impl LogLine {
-    /// Reads a line; what a collector has put before it is passed over. Returns
-    /// nothing for a line that is not of a log.
+    /// Parses a line and skips any prefix that a log collector has added. Returns
+    /// `None` if it is not a log line.
     pub(crate) fn parse(text: &str) -> Option<Self> {
         let object = &text[text.find('{')?..];
         let mut fields: Map<String, Value> = serde_json::from_str(object).ok()?;
@@ -26,25 +26,25 @@
             _ => None,
         };
         Some(Self {
-            at: take("ts")?,
+            timestamp: take("ts")?,
             instance: take("instance")?,
             message: take("msg")?,
             fields,
         })
     }
 
-    /// Returns its time in a form whose text has the same order, with or
-    /// without a fraction of a second.
-    pub(crate) fn order(&self) -> &str {
-        self.at.trim_end_matches('Z')
+    /// Returns the timestamp without the final `Z`, so that timestamps with and without
+    /// fractions of a second sort by time.
+    pub(crate) fn sort_key(&self) -> &str {
+        self.timestamp.trim_end_matches('Z')
     }
 
-    /// Returns a field that is text.
+    /// Returns the value of a text field.
     pub(crate) fn text(&self, field: &str) -> Option<&str> {
         self.fields.get(field).and_then(Value::as_str)
     }
 
-    /// Returns a field that is a whole number.
+    /// Returns the value of an unsigned integer field.
     pub(crate) fn number(&self, field: &str) -> Option<u64> {
         self.fields.get(field).and_then(Value::as_u64)
     }
--- a/crates/ctl/src/plan.rs
+++ b/crates/ctl/src/plan.rs
@@ -1,4 +1,4 @@
-//! Plan files and how a plan is shown.
+//! Reads, writes and renders plans.
 
 use std::{fmt::Write, path::Path};
 
@@ -35,13 +35,13 @@
         printable(change.operator.as_str()),
         change.base,
     );
-    section(&mut text, "changes", &plan.summary);
-    section(&mut text, "moves that would follow", &plan.moves);
-    section(&mut text, "warnings", &plan.warnings);
+    write_section(&mut text, "changes", &plan.summary);
+    write_section(&mut text, "moves that would follow", &plan.moves);
+    write_section(&mut text, "warnings", &plan.warnings);
     text
 }
 
-fn section(text: &mut String, title: &str, lines: &[String]) {
+fn write_section(text: &mut String, title: &str, lines: &[String]) {
     if lines.is_empty() {
         return;
     }
--- a/crates/ctl/src/report.rs
+++ b/crates/ctl/src/report.rs
@@ -2,58 +2,58 @@
 
 use crate::{
     command::Grouping,
-    costs::{Line, Report, Spent},
+    costs::{CostSum, Line, Report},
     table::{Align, Table},
 };
 
 const MICROS: u64 = 1_000_000;
-const CSV_HEAD: &str = "row,workspace,pipeline,stage,calls,busy_us,cost_micros,share_percent,\
+const CSV_HEADER: &str = "row,workspace,pipeline,stage,calls,busy_us,cost_micros,share_percent,\
                         used_micros,wasted_micros,wasted_percent";
 
-/// Renders `report` as a table with a total below.
+/// Renders `report` as a table that ends with a total.
 pub(crate) fn table(report: &Report, grouping: Grouping) -> String {
-    let names = name_heads(grouping);
-    let mut heads: Vec<(&str, Align)> = names.iter().map(|name| (*name, Align::Left)).collect();
-    let numbers = [
+    let names = name_headers(grouping);
+    let mut headers: Vec<(&str, Align)> = names.iter().map(|name| (*name, Align::Left)).collect();
+    let number_headers = [
         "CALLS", "BUSY s", "COST", "SHARE %", "USED", "WASTED", "WASTED %",
     ];
-    heads.extend(numbers.map(|name| (name, Align::Right)));
-    let mut table = Table::new(&heads);
+    headers.extend(number_headers.map(|name| (name, Align::Right)));
+    let mut table = Table::new(&headers);
     for line in &report.lines {
-        let mut cells = line_names(line);
-        cells.extend(numbers_of(&line.spent, line.share_percent));
+        let mut cells = name_cells(line);
+        cells.extend(number_cells(&line.sum, line.share_percent));
         table.row(cells);
     }
     let mut cells = vec!["total".to_owned()];
     cells.resize(names.len(), String::new());
-    cells.extend(numbers_of(&report.total, total_share(report)));
+    cells.extend(number_cells(&report.total, total_share(report)));
     table.row(cells);
     table.render()
 }
 
-/// Renders `report` as comma-separated values with a head and a total.
+/// Renders `report` as comma-separated values with a header and a total.
 pub(crate) fn csv(report: &Report) -> String {
-    let mut text = format!("{CSV_HEAD}\n");
+    let mut text = format!("{CSV_HEADER}\n");
     for line in &report.lines {
         let names = [&line.workspace, &line.pipeline, &line.stage];
         let names = names.map(|name| name.as_deref().unwrap_or_default());
-        csv_row(&mut text, "line", names, &line.spent, line.share_percent);
+        csv_row(&mut text, "line", names, &line.sum, line.share_percent);
     }
     let share = total_share(report);
     csv_row(&mut text, "total", [""; 3], &report.total, share);
     text
 }
 
-fn csv_row(text: &mut String, row: &str, names: [&str; 3], spent: &Spent, share_percent: f64) {
+fn csv_row(text: &mut String, row: &str, names: [&str; 3], sum: &CostSum, share_percent: f64) {
     let names = names.map(csv_cell).join(",");
     *text += &format!(
         "{row},{names},{},{},{},{share_percent:.3},{},{},{:.3}\n",
-        spent.calls,
-        spent.busy_us,
-        spent.cost_micros,
-        spent.used_micros(),
-        spent.wasted_micros,
-        spent.wasted_percent(),
+        sum.calls,
+        sum.busy_us,
+        sum.cost_micros,
+        sum.used_micros(),
+        sum.wasted_micros,
+        sum.wasted_percent(),
     );
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-fn name_heads(grouping: Grouping) -> &'static [&'static str] {
+fn name_headers(grouping: Grouping) -> &'static [&'static str] {
     match grouping {
         Grouping::Full => &["WORKSPACE", "PIPELINE", "STAGE"],
         Grouping::Stage => &["PIPELINE", "STAGE"],
@@ -74,20 +74,20 @@
     }
 }
 
-fn line_names(line: &Line) -> Vec<String> {
+fn name_cells(line: &Line) -> Vec<String> {
     let names = [&line.workspace, &line.pipeline, &line.stage];
     names.into_iter().flatten().cloned().collect()
 }
 
-fn numbers_of(spent: &Spent, share_percent: f64) -> [String; 7] {
+fn number_cells(sum: &CostSum, share_percent: f64) -> [String; 7] {
     [
-        spent.calls.to_string(),
-        thousandths(spent.busy_us / 1_000),
-        currency(spent.cost_micros),
+        sum.calls.to_string(),
+        format_thousandths(sum.busy_us / 1_000),
+        format_micros(sum.cost_micros),
         format!("{share_percent:.1}"),
-        currency(spent.used_micros()),
-        currency(spent.wasted_micros),
-        format!("{:.1}", spent.wasted_percent()),
+        format_micros(sum.used_micros()),
+        format_micros(sum.wasted_micros),
+        format!("{:.1}", sum.wasted_percent()),
     ]
 }
 
@@ -99,11 +99,11 @@
     }
 }
 
-/// Writes millionths as a decimal number without rounding.
-fn currency(micros: u64) -> String {
+/// Formats millionths as a decimal number without rounding.
+fn format_micros(micros: u64) -> String {
     format!("{}.{:06}", micros / MICROS, micros % MICROS)
 }
 
-fn thousandths(value: u64) -> String {
+fn format_thousandths(value: u64) -> String {
     format!("{}.{:03}", value / 1_000, value % 1_000)
 }
--- a/crates/ctl/src/settings.rs
+++ b/crates/ctl/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that hold for every command.
+//! Settings common to all commands.
 
 use std::{fmt, net::SocketAddr, path::Path, time::Duration};
 
@@ -10,14 +10,14 @@
 /// Longest accepted credential file, in bytes.
 const MAX_CREDENTIAL_BYTES: u64 = 4096;
 
-/// How and where commands are carried out.
+/// Settings of the controller.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Addresses of the instances' operator listeners, tried in this order.
     pub admins: Vec<SocketAddr>,
     /// Operators' credential.
     pub credential: Credential,
-    /// Longest time for one answer, in ms.
+    /// Timeout for one response, in ms.
     pub timeout_ms: u64,
     /// How results are printed.
     pub format: Format,
@@ -32,14 +32,14 @@
 /// How results are printed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// Tables and sentences.
+    /// Tables and text.
     #[default]
     Human,
     /// One JSON document.
     Json,
 }
 
-/// A secret that is never printed.
+/// A credential; `Debug` does not print it.
 #[derive(Clone)]
 pub struct Credential(String);
 
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the file can't be read or has no credential in it.
+    /// Returns an error when the file can't be read or has no usable credential.
     pub fn load(path: &Path) -> Result<Self> {
         let bytes = file::read(path, MAX_CREDENTIAL_BYTES)?;
         let text = String::from_utf8(bytes).unwrap_or_default();
--- a/crates/ctl/src/table.rs
+++ b/crates/ctl/src/table.rs
@@ -1,26 +1,26 @@
-//! Text in columns.
+//! Text tables.
 
-/// Side on which a column's text stands.
+/// Alignment of a column.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Align {
     Left,
     Right,
 }
 
-/// Rows under a head, with columns as wide as their widest cell.
+/// A header and rows, with columns as wide as their widest cell.
 #[derive(Debug)]
 pub(crate) struct Table {
     aligns: Vec<Align>,
     rows: Vec<Vec<String>>,
 }
 
-/// Space between two columns.
-const GAP: &str = "  ";
+/// Separator between two columns.
+const COLUMN_SEPARATOR: &str = "  ";
 
 impl Table {
-    /// Starts a table with the heads of its columns.
-    pub(crate) fn new(heads: &[(&str, Align)]) -> Self {
-        let (names, aligns): (Vec<_>, Vec<_>) = heads
+    /// Creates a table with column headers.
+    pub(crate) fn new(headers: &[(&str, Align)]) -> Self {
+        let (names, aligns): (Vec<_>, Vec<_>) = headers
             .iter()
             .map(|(name, align)| (name.to_string(), *align))
             .unzip();
@@ -30,13 +30,13 @@
         }
     }
 
-    /// Adds a row; control characters of its cells are escaped.
+    /// Adds a row; escapes control characters in its cells.
     pub(crate) fn row(&mut self, cells: impl IntoIterator<Item = impl AsRef<str>>) {
         let cells = cells.into_iter().map(|cell| printable(cell.as_ref()));
         self.rows.push(cells.collect());
     }
 
-    /// Renders the table, each row ended by a line feed.
+    /// Renders the table with a line feed after each row.
     pub(crate) fn render(&self) -> String {
         let widths: Vec<usize> = (0..self.aligns.len())
             .map(|column| self.width(column))
@@ -50,7 +50,7 @@
                     Align::Right => format!("{cell:>width$}"),
                 })
                 .collect();
-            text.push_str(cells.join(GAP).trim_end());
+            text.push_str(cells.join(COLUMN_SEPARATOR).trim_end());
             text.push('\n');
         }
         text
@@ -62,16 +62,16 @@
     }
 }
 
-/// Escapes control characters, so that what an instance says can't steer the
-/// operator's terminal.
+/// Escapes control characters other than line feeds, so that text from an instance
+/// can't control the operator's terminal.
 pub(crate) fn printable(text: &str) -> String {
-    let mut safe = String::with_capacity(text.len());
+    let mut escaped = String::with_capacity(text.len());
     for c in text.chars() {
         if c.is_control() && c != '\n' {
-            safe.extend(c.escape_default());
+            escaped.extend(c.escape_default());
         } else {
-            safe.push(c);
+            escaped.push(c);
         }
     }
-    safe
+    escaped
 }
--- a/crates/ctl/src/view.rs
+++ b/crates/ctl/src/view.rs
@@ -1,4 +1,4 @@
-//! Tables of what instances say.
+//! Tables of the data that instances return.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -16,8 +16,8 @@
     },
 };
 
-/// What stands where nothing is known.
-const NOT_KNOWN: &str = "-";
+/// Placeholder for an unknown value.
+const UNKNOWN_VALUE: &str = "-";
 
 pub(crate) fn statuses(statuses: &[(SocketAddr, Status)]) -> String {
     let mut table = Table::new(&[
@@ -53,7 +53,8 @@
     }
 }
 
-/// An instance that never heard the head of the stream says `u64::MAX`.
+/// Formats the age of the configuration. An instance that never learned the newest
+/// offset of the stream reports `u64::MAX`.
 fn age(age_ms: u64) -> String {
     if age_ms == u64::MAX {
         "never".to_owned()
@@ -75,8 +76,8 @@
             view.name.to_string(),
             view.zone.to_string(),
             view.state.clone(),
-            or_not_known(view.config_next),
-            or_not_known(view.age_ms),
+            or_unknown(view.config_next),
+            or_unknown(view.age_ms),
         ]);
     }
     table.render()
@@ -99,8 +100,8 @@
             view.zone.to_string(),
             view.state.clone(),
             view.in_flight.to_string(),
-            or_not_known(view.reported),
-            or_not_known(view.age_ms),
+            or_unknown(view.reported),
+            or_unknown(view.age_ms),
         ]);
     }
     table.render()
@@ -124,7 +125,7 @@
     table.render()
 }
 
-/// Renders the objects of one kind out of `objects`.
+/// Renders the objects of one kind in `objects`.
 pub(crate) fn objects(list: ObjectList, objects: &[Object]) -> String {
     match list {
         ObjectList::Workspaces => workspaces(objects),
@@ -134,7 +135,7 @@
     }
 }
 
-/// Tells whether `object` belongs in `list`.
+/// Returns whether `object` belongs in `list`.
 pub(crate) fn is_listed(list: ObjectList, object: &Object) -> bool {
     matches!(
         (list, object),
@@ -273,7 +274,7 @@
     ]
 }
 
-/// Says in one line how far a change has come.
+/// Describes in one line on how many instances a change is in force.
 pub(crate) fn reach(reach: &Reach) -> String {
     let counts = format!(
         "in force on {} of {} listed instances",
@@ -286,6 +287,6 @@
     format!("{counts}; not yet reported by {}", missing.join(", "))
 }
 
-fn or_not_known<T: ToString>(value: Option<T>) -> String {
-    value.map_or_else(|| NOT_KNOWN.to_owned(), |value| value.to_string())
+fn or_unknown<T: ToString>(value: Option<T>) -> String {
+    value.map_or_else(|| UNKNOWN_VALUE.to_owned(), |value| value.to_string())
 }
