--- a/crates/check/src/fields.rs
+++ b/crates/check/src/fields.rs
@@ -9,10 +9,10 @@
     problem::Problems,
 };
 
-/// What a digest may look like.
+/// Allowed form of a digest.
 const SHA256: &str = "SHA-256 as 64 lower-case hex digits";
 
-/// A value of the file together with its path.
+/// A value in the file with its path.
 pub struct Item<'a> {
     node: &'a Node,
     path: String,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Reads a mapping with `reader` and notes the fields it did not ask for.
+    /// Reads a mapping with `reader` and reports the fields that it did not read.
     pub fn map<T>(self, reader: impl FnOnce(&mut Fields<'_>) -> Option<T>) -> Option<T> {
         let Node::Map(entries) = self.node else {
             return self.refuse("a mapping of fields");
@@ -36,15 +36,15 @@
         let mut fields = Fields {
             entries,
             path: self.path,
-            asked: Vec::new(),
+            known_fields: Vec::new(),
             problems: self.problems,
         };
         let value = reader(&mut fields);
-        fields.note_unknown();
+        fields.report_unknown();
         value
     }
 
-    /// Reads a list, each item with `reader`; `None` when any item has a
+    /// Reads a list, each item with `reader`; returns `None` if any item has a
     /// problem.
     pub fn list<T>(
         self,
@@ -66,7 +66,7 @@
         (values.len() == items.len()).then_some(values)
     }
 
-    /// Reads text with `parse`; `allowed` says what `parse` takes.
+    /// Reads text with `parse`; `allowed` describes what `parse` accepts.
     pub fn parsed<T>(self, allowed: &str, parse: impl FnOnce(&str) -> Option<T>) -> Option<T> {
         let value = match self.node {
             Node::Text(text) => parse(text),
@@ -80,7 +80,7 @@
 
     /// Reads text of `lengths` bytes.
     pub fn text(self, lengths: RangeInclusive<usize>) -> Option<String> {
-        let allowed = text_of(&lengths);
+        let allowed = describe_text(&lengths);
         self.parsed(&allowed, |text| {
             lengths.contains(&text.len()).then(|| text.to_owned())
         })
@@ -92,26 +92,27 @@
             Node::Text(text) if lengths.contains(&text.len()) => Some(text.clone()),
             node => {
                 let found = node.describe_type();
-                self.problems.note(self.path, found, text_of(&lengths));
+                self.problems
+                    .report(self.path, found, describe_text(&lengths));
                 None
             }
         }
     }
 
-    /// Reads a SHA-256 digest in lower-case hex. What is found instead is not
-    /// printed, since it may be what should have been digested.
+    /// Reads a SHA-256 digest in lower-case hex. An invalid value is not printed,
+    /// since it may be the secret that should have been hashed.
     pub fn sha256(self) -> Option<String> {
         match self.node {
             Node::Text(text) if is_sha256(text) => Some(text.clone()),
             node => {
                 let found = node.describe_type();
-                self.problems.note(self.path, found, SHA256.to_owned());
+                self.problems.report(self.path, found, SHA256.to_owned());
                 None
             }
         }
     }
 
-    /// Reads a name as [`is_valid_name`] has it.
+    /// Reads a name that is valid according to [`is_valid_name`].
     pub fn name(self) -> Option<String> {
         let allowed = format!(
             "1 to {MAX_NAME_BYTES} lower-case letters, digits, '-' or '.', \
@@ -138,7 +139,7 @@
         })
     }
 
-    /// Reads a whole number.
+    /// Reads an unsigned integer within `range`.
     pub fn u64(self, range: RangeInclusive<u64>) -> Option<u64> {
         match self.node {
             Node::Unsigned(value) if range.contains(value) => Some(*value),
@@ -149,13 +150,14 @@
         }
     }
 
-    /// Reads a whole number.
+    /// Reads an unsigned integer within `range`.
     pub fn u32(self, range: RangeInclusive<u32>) -> Option<u32> {
-        let wide = u64::from(*range.start())..=u64::from(*range.end());
-        self.u64(wide).and_then(|value| u32::try_from(value).ok())
+        let range_u64 = u64::from(*range.start())..=u64::from(*range.end());
+        self.u64(range_u64)
+            .and_then(|value| u32::try_from(value).ok())
     }
 
-    /// Reads a number.
+    /// Reads a number within `range`.
     pub fn f64(self, range: RangeInclusive<f64>) -> Option<f64> {
         let value = match self.node {
             Node::Unsigned(value) => Some(*value as f64),
@@ -182,12 +184,12 @@
 
     fn refuse<T>(self, allowed: &str) -> Option<T> {
         let found = self.node.describe();
-        self.problems.note(self.path, found, allowed.to_owned());
+        self.problems.report(self.path, found, allowed.to_owned());
         None
     }
 }
 
-fn text_of(lengths: &RangeInclusive<usize>) -> String {
+fn describe_text(lengths: &RangeInclusive<usize>) -> String {
     format!("text of {} to {} bytes", lengths.start(), lengths.end())
 }
 
@@ -196,25 +198,25 @@
 pub struct Fields<'a> {
     entries: &'a [(String, Node)],
     path: String,
-    asked: Vec<&'static str>,
+    known_fields: Vec<&'static str>,
     problems: &'a mut Problems,
 }
 
 impl Fields<'_> {
-    /// Tells whether the mapping has the field with a value.
+    /// Returns whether the field is present with a value other than null.
     pub fn has(&self, field: &str) -> bool {
         !matches!(self.find(field), None | Some(Node::Null))
     }
 
-    /// Notes a problem that the readers can't see, such as two fields that
-    /// exclude each other.
+    /// Reports a problem that the readers can't detect, such as two mutually
+    /// exclusive fields.
     pub fn problem(&mut self, field: &'static str, found: &str, allowed: &str) {
         let path = join(&self.path, field);
         self.problems
-            .note(path, found.to_owned(), allowed.to_owned());
+            .report(path, found.to_owned(), allowed.to_owned());
     }
 
-    /// Reads a field with `reader` when it is there; `Some(None)` when it is not.
+    /// Reads a field with `reader` if it is present; returns `Some(None)` if it is not.
     pub fn optional<T>(
         &mut self,
         field: &'static str,
@@ -223,12 +225,12 @@
         if self.has(field) {
             reader(self, field).map(Some)
         } else {
-            self.ask(field);
+            self.mark_known(field);
             Some(None)
         }
     }
 
-    /// Reads a field with `reader`, or returns `default` when it is not there.
+    /// Reads a field with `reader`, or returns `default` if it is not present.
     pub fn or<T>(
         &mut self,
         field: &'static str,
@@ -239,15 +241,15 @@
             .map(|value| value.unwrap_or(default))
     }
 
-    /// Reads a whole number, or returns `default` when it is not there or not
-    /// allowed; the latter is noted and refuses the file.
+    /// Reads an unsigned integer, or returns `default` if it is not present or not
+    /// allowed; a value that is not allowed is reported, so the file is refused.
     pub fn number(&mut self, field: &'static str, range: RangeInclusive<u64>, default: u64) -> u64 {
-        self.or(field, default, |fields, at| fields.u64(at, range))
+        self.or(field, default, |fields, key| fields.u64(key, range))
             .unwrap_or(default)
     }
 
-    /// Reads a mapping that may be left out; one that is not there is read as
-    /// empty, so that its required fields are reported.
+    /// Reads an optional mapping; a missing one is read as empty, so that its required
+    /// fields are reported.
     pub fn section<T>(
         &mut self,
         field: &'static str,
@@ -256,7 +258,7 @@
         if self.has(field) {
             return self.map(field, reader);
         }
-        self.ask(field);
+        self.mark_known(field);
         let path = join(&self.path, field);
         Item::new(&Node::Map(Vec::new()), path, self.problems).map(reader)
     }
@@ -280,7 +282,7 @@
         self.item(field, "a list")?.list(lengths, reader)
     }
 
-    /// Reads text with `parse`; `allowed` says what `parse` takes.
+    /// Reads text with `parse`; `allowed` describes what `parse` accepts.
     pub fn parsed<T>(
         &mut self,
         field: &'static str,
@@ -292,7 +294,7 @@
 
     /// Reads text of `lengths` bytes.
     pub fn text(&mut self, field: &'static str, lengths: RangeInclusive<usize>) -> Option<String> {
-        self.item(field, &text_of(&lengths))?.text(lengths)
+        self.item(field, &describe_text(&lengths))?.text(lengths)
     }
 
     /// Reads text of `lengths` bytes whose value must not be printed.
@@ -301,7 +303,7 @@
         field: &'static str,
         lengths: RangeInclusive<usize>,
     ) -> Option<String> {
-        self.item(field, &text_of(&lengths))?.secret(lengths)
+        self.item(field, &describe_text(&lengths))?.secret(lengths)
     }
 
     /// Reads a SHA-256 digest in lower-case hex.
@@ -325,17 +327,17 @@
         self.item(field, &names.join(", "))?.choice(choices)
     }
 
-    /// Reads a whole number.
+    /// Reads an unsigned integer within `range`.
     pub fn u64(&mut self, field: &'static str, range: RangeInclusive<u64>) -> Option<u64> {
         self.item(field, "a whole number")?.u64(range)
     }
 
-    /// Reads a whole number.
+    /// Reads an unsigned integer within `range`.
     pub fn u32(&mut self, field: &'static str, range: RangeInclusive<u32>) -> Option<u32> {
         self.item(field, "a whole number")?.u32(range)
     }
 
-    /// Reads a number.
+    /// Reads a number within `range`.
     pub fn f64(&mut self, field: &'static str, range: RangeInclusive<f64>) -> Option<f64> {
         self.item(field, "a number")?.f64(range)
     }
@@ -345,9 +347,9 @@
         self.item(field, "true or false")?.bool()
     }
 
-    fn ask(&mut self, field: &'static str) {
-        if !self.asked.contains(&field) {
-            self.asked.push(field);
+    fn mark_known(&mut self, field: &'static str) {
+        if !self.known_fields.contains(&field) {
+            self.known_fields.push(field);
         }
     }
 
@@ -357,26 +359,26 @@
     }
 
     fn item(&mut self, field: &'static str, allowed: &str) -> Option<Item<'_>> {
-        self.ask(field);
+        self.mark_known(field);
         let path = join(&self.path, field);
         match self.entries.iter().find(|(key, _)| key == field) {
             Some((_, node)) => Some(Item::new(node, path, self.problems)),
             None => {
                 let allowed = format!("{allowed} (required)");
-                self.problems.note(path, "nothing".to_owned(), allowed);
+                self.problems.report(path, "nothing".to_owned(), allowed);
                 None
             }
         }
     }
 
-    fn note_unknown(self) {
+    fn report_unknown(self) {
         for (key, _) in self.entries {
-            if self.asked.contains(&key.as_str()) {
+            if self.known_fields.contains(&key.as_str()) {
                 continue;
             }
             let found = "an unknown field".to_owned();
-            let allowed = format!("one of {}", self.asked.join(", "));
-            self.problems.note(join(&self.path, key), found, allowed);
+            let allowed = format!("one of {}", self.known_fields.join(", "));
+            self.problems.report(join(&self.path, key), found, allowed);
         }
     }
 }
--- a/crates/check/src/lib.rs
+++ b/crates/check/src/lib.rs
@@ -1,11 +1,11 @@
-//! Reads a YAML file into typed values and reports every fault in it at once.
+//! Reads a YAML file into typed values and reports all its problems at once.
 //!
-//! [`read`] parses the text under [`Limits`], which stop oversized, deeply
-//! nested and alias-expanding files, and hands the top-level mapping to a closure
-//! as [`Fields`]. Readers return `None` after noting a [`Problem`] with the path
-//! of the field, what was found and what is allowed. A field that the closure
-//! never asked for is unknown and a problem too, so a closure asks for every
-//! field first and unwraps with `?` only when it builds the value:
+//! [`read`] parses the text under [`Limits`], which refuse oversized, deeply
+//! nested and alias-expanding files, and passes the top-level mapping to a closure
+//! as [`Fields`]. Readers report a [`Problem`] with the path of the field, what was
+//! found and what is allowed, and return `None`. A field that the closure never
+//! reads is unknown and also a problem, so a closure reads all fields first and
+//! unwraps them with `?` only when it builds the value:
 //!
 //! ```
 //! use savoryvane_check::{Fields, Limits, read};
@@ -18,8 +18,8 @@
 //!
 //! fn listener(fields: &mut Fields<'_>) -> Option<Listener> {
 //!     let name = fields.name("name");
-//!     let backlog = fields.or("backlog", 128, |f, at| f.u32(at, 1..=4096));
-//!     let idle_ms = fields.optional("idle_ms", |f, at| f.u64(at, 1..=60_000));
+//!     let backlog = fields.or("backlog", 128, |f, key| f.u32(key, 1..=4096));
+//!     let idle_ms = fields.optional("idle_ms", |f, key| f.u64(key, 1..=60_000));
 //!     Some(Listener {
 //!         name: name?,
 //!         backlog: backlog?,
@@ -51,16 +51,16 @@
 
 /// Parses `text` and reads its top-level mapping with `reader`.
 ///
-/// `file` is only used to name the file in the problems. An empty file is read
-/// as an empty mapping.
+/// `file` is the file name shown in problems. An empty file is read as an empty
+/// mapping.
 ///
 /// # Errors
 ///
-/// Returns every problem that was found, at least one.
+/// Returns all problems found, at least one.
 ///
 /// # Panics
 ///
-/// Panics when `reader` returns `None` without a problem having been noted.
+/// Panics if `reader` returns `None` without a reported problem.
 pub fn read<T>(
     file: &str,
     text: &[u8],
@@ -77,7 +77,7 @@
         _ => {
             assert!(
                 !problems.list().is_empty(),
-                "a reader gave up without a problem"
+                "a reader returned `None` without a reported problem"
             );
             Err(problems)
         }
--- a/crates/check/src/limits.rs
+++ b/crates/check/src/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that keep a hostile file from costing time or memory.
+//! Limits on the time and memory that a hostile file can use.
 
 use std::{
     fs::File,
@@ -6,7 +6,7 @@
     path::Path,
 };
 
-/// What a file may cost before it is refused.
+/// Limits beyond which a file is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Longest accepted file, in bytes.
@@ -14,28 +14,30 @@
     /// Deepest accepted nesting of mappings and lists.
     pub depth: usize,
     /// Largest accepted content after aliases are expanded, in bytes; each
-    /// scalar, mapping and list counts [`Limits::NODE_BYTES`] beside its text.
+    /// scalar, mapping and list counts [`Limits::NODE_BYTES`] in addition to its text.
     pub expanded_bytes: usize,
-    /// Most opening brackets and braces times the file's length in bytes. The
-    /// parser looks at every open one for each token, so that this bounds its
-    /// work; files in block style hardly count.
+    /// Maximum of the number of opening brackets and braces times the file's length in
+    /// bytes. The parser checks every open bracket and brace for each token, so this
+    /// product bounds its work; files in block style have few.
     pub flow_work: usize,
 }
 
 impl Limits {
-    /// What each scalar, mapping or list counts beside its text, in bytes.
+    /// Bytes that each scalar, mapping or list counts in addition to its text.
     pub const NODE_BYTES: usize = 8;
 
-    /// Reads the file at `path`: the whole of it, or of one that is too long
-    /// just enough for [`read`](crate::read) to refuse it.
+    /// Reads the file at `path`. Of a file that is too long it reads only one byte over
+    /// the limit, so that [`read`](crate::read) refuses it.
     ///
     /// # Errors
     ///
-    /// Fails when the file can't be read.
+    /// Returns an error when the file can't be read.
     pub fn read_file(&self, path: &Path) -> io::Result<Vec<u8>> {
         let mut bytes = Vec::new();
-        let most = self.file_bytes as u64 + 1;
-        File::open(path)?.take(most).read_to_end(&mut bytes)?;
+        let max_read_bytes = self.file_bytes as u64 + 1;
+        File::open(path)?
+            .take(max_read_bytes)
+            .read_to_end(&mut bytes)?;
         Ok(bytes)
     }
 }
--- a/crates/check/src/node.rs
+++ b/crates/check/src/node.rs
@@ -1,4 +1,4 @@
-//! A parsed file as a tree, built under limits.
+//! The tree of a parsed file, built within the limits.
 
 use std::{cell::RefCell, fmt};
 
@@ -23,7 +23,7 @@
 }
 
 impl Node {
-    /// Describes the node for the `found` part of a problem.
+    /// Describes the node for [`Problem::found`](crate::Problem::found).
     pub(crate) fn describe(&self) -> String {
         match self {
             Self::Null => "nothing".to_owned(),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Describes the node by its type alone, where its value is a secret.
+    /// Describes the node only by its type, for secret values.
     pub(crate) fn describe_type(&self) -> String {
         match self {
             Self::Null => "nothing".to_owned(),
@@ -50,32 +50,33 @@
     }
 }
 
-/// Parses `text`; `None` means that it can't be read at all.
+/// Parses `text`; reports a problem and returns `None` if it is not valid YAML or
+/// exceeds the limits.
 pub(crate) fn parse(text: &[u8], limits: &Limits, problems: &mut Problems) -> Option<Node> {
     if text.len() > limits.file_bytes {
         let found = "a longer file".to_owned();
         let allowed = format!("at most {} bytes", limits.file_bytes);
-        problems.note(String::new(), found, allowed);
+        problems.report(String::new(), found, allowed);
         return None;
     }
     let Ok(text) = std::str::from_utf8(text) else {
-        problems.note(String::new(), "invalid UTF-8".into(), "UTF-8 text".into());
+        problems.report(String::new(), "invalid UTF-8".into(), "UTF-8 text".into());
         return None;
     };
-    let flow_opens = text.bytes().filter(|b| matches!(b, b'[' | b'{')).count();
-    if flow_opens.saturating_mul(text.len()) > limits.flow_work {
-        let found = format!("{flow_opens} opening brackets and braces");
+    let flow_bracket_count = text.bytes().filter(|b| matches!(b, b'[' | b'{')).count();
+    if flow_bracket_count.saturating_mul(text.len()) > limits.flow_work {
+        let found = format!("{flow_bracket_count} opening brackets and braces");
         let allowed = "fewer in a file of this length: use block style or several files";
-        problems.note(String::new(), found, allowed.to_owned());
+        problems.report(String::new(), found, allowed.to_owned());
         return None;
     }
     let budget = RefCell::new(Budget {
-        left_bytes: limits.expanded_bytes,
+        remaining_bytes: limits.expanded_bytes,
         problems,
     });
     let seed = Seed {
         path: "",
-        depth_left: limits.depth,
+        remaining_depth: limits.depth,
         limits,
         budget: &budget,
     };
@@ -84,23 +85,23 @@
         Ok(root) => Some(root),
         Err(error) => {
             let allowed = "one YAML document without tags, within the limits on depth and size";
-            problems.note(String::new(), error.to_string(), allowed.to_owned());
+            problems.report(String::new(), error.to_string(), allowed.to_owned());
             None
         }
     }
 }
 
-/// What is left to spend on a file, and where duplicate keys are noted.
+/// Remaining size budget of a file, and the list to which duplicate keys are reported.
 struct Budget<'a> {
-    left_bytes: usize,
+    remaining_bytes: usize,
     problems: &'a mut Problems,
 }
 
-/// Builds the node at `path`.
+/// Deserialises the node at `path`.
 #[derive(Clone, Copy)]
 struct Seed<'a, 'b> {
     path: &'a str,
-    depth_left: usize,
+    remaining_depth: usize,
     limits: &'a Limits,
     budget: &'a RefCell<Budget<'b>>,
 }
@@ -109,9 +110,9 @@
     fn spend<E: Error>(&self, text_bytes: usize) -> Result<(), E> {
         let mut budget = self.budget.borrow_mut();
         let cost = text_bytes.saturating_add(Limits::NODE_BYTES);
-        match budget.left_bytes.checked_sub(cost) {
-            Some(left) => {
-                budget.left_bytes = left;
+        match budget.remaining_bytes.checked_sub(cost) {
+            Some(remaining) => {
+                budget.remaining_bytes = remaining;
                 Ok(())
             }
             None => Err(E::custom(format_args!(
@@ -121,8 +122,8 @@
         }
     }
 
-    fn deeper<E: Error>(&self) -> Result<usize, E> {
-        self.depth_left.checked_sub(1).ok_or_else(|| {
+    fn child_depth<E: Error>(&self) -> Result<usize, E> {
+        self.remaining_depth.checked_sub(1).ok_or_else(|| {
             E::custom(format_args!(
                 "nesting deeper than {} levels",
                 self.limits.depth
@@ -130,11 +131,11 @@
         })
     }
 
-    fn note_duplicate(&self, path: String) {
+    fn report_duplicate(&self, path: String) {
         let found = "the field a second time".to_owned();
         let allowed = "each field once".to_owned();
         let mut budget = self.budget.borrow_mut();
-        budget.problems.note(path, found, allowed);
+        budget.problems.report(path, found, allowed);
     }
 }
 
@@ -189,13 +190,13 @@
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut access: A) -> Result<Node, A::Error> {
         self.spend(0)?;
-        let depth_left = self.deeper()?;
+        let remaining_depth = self.child_depth()?;
         let mut items = Vec::new();
         loop {
             let path = format!("{}[{}]", self.path, items.len());
             let seed = Seed {
                 path: &path,
-                depth_left,
+                remaining_depth,
                 ..self
             };
             match access.next_element_seed(seed)? {
@@ -207,7 +208,7 @@
 
     fn visit_map<A: MapAccess<'de>>(self, mut access: A) -> Result<Node, A::Error> {
         self.spend(0)?;
-        let depth_left = self.deeper()?;
+        let remaining_depth = self.child_depth()?;
         let mut entries: Vec<(String, Node)> = Vec::new();
         let mut seen = std::collections::HashSet::new();
         while let Some(key) = access.next_key::<String>()? {
@@ -215,21 +216,21 @@
             let path = join(self.path, &key);
             let seed = Seed {
                 path: &path,
-                depth_left,
+                remaining_depth,
                 ..self
             };
             let value = access.next_value_seed(seed)?;
             if seen.insert(key.clone()) {
                 entries.push((key, value));
             } else {
-                self.note_duplicate(path);
+                self.report_duplicate(path);
             }
         }
         Ok(Node::Map(entries))
     }
 }
 
-/// Appends a field to a path; a key that is no plain word is quoted.
+/// Appends a field to a path; quotes a key that is not a plain word.
 pub(crate) fn join(path: &str, key: &str) -> String {
     let is_plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'_' | b'-');
     let key = if !key.is_empty() && key.len() <= 64 && key.bytes().all(is_plain) {
--- a/crates/check/src/problem.rs
+++ b/crates/check/src/problem.rs
@@ -1,14 +1,13 @@
-//! Faults found in a file.
+//! Problems found in a file.
 
 use std::{error::Error, fmt};
 
-/// Most problems that are kept; a file with more is not read any better with a
-/// longer list.
-const MAX_PROBLEMS: usize = 100;
-/// Longest quoted part of a file, in characters.
+/// Maximum number of listed problems; a longer list would not help to correct the file.
+const MAX_LISTED_PROBLEMS: usize = 100;
+/// Longest quoted text from a file, in characters.
 const MAX_QUOTED_CHARS: usize = 64;
 
-/// One fault of a file.
+/// One problem in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     /// Path of the field, such as `pipelines[0].deadline_ms`; empty for the
@@ -29,12 +28,12 @@
     }
 }
 
-/// Every fault of a file, in the order in which they were found.
+/// The problems of a file, in the order in which they were found.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problems {
     file: String,
     list: Vec<Problem>,
-    dropped: usize,
+    unlisted: usize,
 }
 
 impl Problems {
@@ -42,18 +41,18 @@
         Self {
             file: file.to_owned(),
             list: Vec::new(),
-            dropped: 0,
+            unlisted: 0,
         }
     }
 
-    /// Returns the problems that were kept.
+    /// Returns the listed problems.
     pub fn list(&self) -> &[Problem] {
         &self.list
     }
 
-    pub(crate) fn note(&mut self, path: String, found: String, allowed: String) {
-        if self.list.len() == MAX_PROBLEMS {
-            self.dropped += 1;
+    pub(crate) fn report(&mut self, path: String, found: String, allowed: String) {
+        if self.list.len() == MAX_LISTED_PROBLEMS {
+            self.unlisted += 1;
             return;
         }
         self.list.push(Problem {
@@ -67,11 +66,11 @@
 impl fmt::Display for Problems {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, problem) in self.list.iter().enumerate() {
-            let line_end = if index == 0 { "" } else { "\n" };
-            write!(f, "{line_end}{}: {problem}", self.file)?;
+            let separator = if index == 0 { "" } else { "\n" };
+            write!(f, "{separator}{}: {problem}", self.file)?;
         }
-        if self.dropped > 0 {
-            write!(f, "\n{}: {} more problems", self.file, self.dropped)?;
+        if self.unlisted > 0 {
+            write!(f, "\n{}: {} more problems", self.file, self.unlisted)?;
         }
         Ok(())
     }
@@ -79,7 +78,7 @@
 
 impl Error for Problems {}
 
-/// Quotes a part of a file: shortened, control characters escaped.
+/// Quotes text from a file, truncated and with control characters escaped.
 pub(crate) fn quote(text: &str) -> String {
     match text.char_indices().nth(MAX_QUOTED_CHARS) {
         None => format!("{text:?}"),
--- a/crates/check/tests/read.rs
+++ b/crates/check/tests/read.rs
@@ -1,4 +1,4 @@
-//! Faults of ordinary and hostile files, all at once and within limits.
+//! Problems of ordinary and hostile files, all reported at once and within limits.
 
 use quickcheck::{Gen, QuickCheck, Testable};
 use savoryvane_check::{Fields, Limits, Problems, read};
@@ -15,9 +15,11 @@
 
 fn listener(fields: &mut Fields<'_>) -> Option<Listener> {
     let name = fields.name("name");
-    let port = fields.or("port", 80, |f, at| f.u32(at, 1..=65_535));
-    let mode = fields.or("mode", 0, |f, at| f.choice(at, &[("plain", 0), ("tls", 1)]));
-    let note = fields.optional("note", |f, at| f.secret(at, 4..=8));
+    let port = fields.or("port", 80, |f, key| f.u32(key, 1..=65_535));
+    let mode = fields.or("mode", 0, |f, key| {
+        f.choice(key, &[("plain", 0), ("tls", 1)])
+    });
+    let note = fields.optional("note", |f, key| f.secret(key, 4..=8));
     Some(Listener {
         name: name?,
         port: port?,
--- a/crates/ctl/src/intent.rs
+++ b/crates/ctl/src/intent.rs
@@ -81,8 +81,8 @@
     field: &'static str,
     mut reader: impl FnMut(&mut Fields<'_>) -> Option<T>,
 ) -> Option<Vec<T>> {
-    fields.or(field, Vec::new(), |fields, at| {
-        fields.list(at, 0..=MAX_OBJECTS, |item| item.map(&mut reader))
+    fields.or(field, Vec::new(), |fields, key| {
+        fields.list(key, 0..=MAX_OBJECTS, |item| item.map(&mut reader))
     })
 }
 
@@ -90,8 +90,8 @@
     let name = fields.name("name");
     let kind = fields.choice("kind", &KINDS);
     let price_micros_per_s = fields.u64("price_micros_per_s", 0..=u64::MAX);
-    let fencing = fields.or("fencing", Fencing::default(), |f, at| {
-        f.choice(at, &FENCINGS)
+    let fencing = fields.or("fencing", Fencing::default(), |f, key| {
+        f.choice(key, &FENCINGS)
     });
     Some(Pool {
         name: name?.as_str().into(),
@@ -145,7 +145,7 @@
     let pool = fields.name("pool");
     let model = fields.optional("model", Fields::name);
     let idempotent = fields.or("idempotent", true, Fields::bool);
-    let max_tokens = fields.or("max_tokens", 0, |f, at| f.u32(at, 0..=u32::MAX));
+    let max_tokens = fields.or("max_tokens", 0, |f, key| f.u32(key, 0..=u32::MAX));
     Some(Stage {
         name: name?.as_str().into(),
         pool: pool?.as_str().into(),
@@ -163,13 +163,13 @@
     });
     let weight = fields.u32("weight", 1..=MAX_WEIGHT);
     let quota_per_s = fields.u32("quota_per_s", 1..=u32::MAX);
-    let objective = fields.or("objective", Objective::default(), |f, at| {
-        f.choice(at, &OBJECTIVES)
+    let objective = fields.or("objective", Objective::default(), |f, key| {
+        f.choice(key, &OBJECTIVES)
     });
     let attainment_per_mille = fields.or(
         "attainment_per_mille",
         DEFAULT_ATTAINMENT_PER_MILLE,
-        |f, at| f.u32(at, 0..=PER_MILLE),
+        |f, key| f.u32(key, 0..=PER_MILLE),
     );
     Some(Workspace {
         name: name?.as_str().into(),
--- a/crates/ctl/tests/account.rs
+++ b/crates/ctl/tests/account.rs
@@ -1,12 +1,12 @@
-//! `savoryvanectl account`, as an operator runs it: each request gets one end.
+//! Runs `savoryvanectl account` on log lines: each request is counted once.
 
 mod common;
 
 use std::{env, fs, process::Output};
 
-use common::run_on;
+use common::run_with_input;
 
-/// Lines of requests that end in different ways, out of order and with others.
+/// Log lines of requests with different outcomes, unordered and mixed with other text.
 const LOGS: &str = r#"not a line of a log
 12.5 a {"msg":"server chosen","ts":"2026-01-01T00:00:01.1Z","instance":"a","request":"in-time","elapsed_ms":100}
 12.5 a {"msg":"stream ended","ts":"2026-01-01T00:00:02Z","instance":"a","request":"in-time","end":"Whole","goal_ms":500,"gap_goal_ms":800,"first_event_ms":300,"longest_gap_ms":20,"elapsed_ms":1000}
@@ -24,10 +24,10 @@
 "#;
 
 fn account(flags: &[&str], logs: &str) -> Output {
-    run_on(&[&["account"], flags].concat(), logs.as_bytes())
+    run_with_input(&[&["account"], flags].concat(), logs.as_bytes())
 }
 
-/// Returns the numbers of the line that begins with `name`.
+/// Returns the numbers in the line that starts with `name`.
 fn counts(text: &str, name: &str) -> Vec<u64> {
     let line = text.lines().find(|line| line.starts_with(name));
     let rest = line.unwrap_or_else(|| panic!("no {name} in\n{text}"));
@@ -70,15 +70,15 @@
     let rows = text
         .lines()
         .skip_while(|line| !line.starts_with("from second"));
-    let all: u64 = rows
+    let total: u64 = rows
         .skip(1)
         .flat_map(|row| row.split_whitespace().skip(1))
         .map(|number| number.parse::<u64>().unwrap())
         .sum();
-    assert_eq!(all, 8);
-    let picture = fs::read_to_string(&svg).unwrap();
+    assert_eq!(total, 8);
+    let chart = fs::read_to_string(&svg).unwrap();
     fs::remove_file(&svg).unwrap();
-    assert!(picture.starts_with("<svg") && picture.contains("not served"));
+    assert!(chart.starts_with("<svg") && chart.contains("not served"));
 }
 
 #[test]
--- a/crates/ctl/tests/changes.rs
+++ b/crates/ctl/tests/changes.rs
@@ -1,8 +1,8 @@
-//! Intents, plans and confirms, also when answers are lost.
+//! Intents, plans and confirms, including lost responses.
 
 mod common;
 
-use common::{Dir, Fake, Reply, dead_addr, error, plan, reach};
+use common::{FakeInstance, Reply, TestDir, error, plan, reach, unused_addr};
 use serde_json::json;
 
 const PLANS: &str = "POST /admin/v1/plans";
@@ -16,56 +16,57 @@
     )
 }
 
-fn confirmations(fake: &Fake) -> usize {
-    let seen = fake.seen();
-    seen.iter()
-        .filter(|seen| seen.line == CONFIRMATIONS)
+fn confirmations(fake: &FakeInstance) -> usize {
+    let received = fake.received();
+    received
+        .iter()
+        .filter(|received| received.line == CONFIRMATIONS)
         .count()
 }
 
 #[test]
-fn a_plan_is_shown_and_written_and_confirmed_as_it_is() {
-    let dir = Dir::new();
-    let fake = Fake::start(|line, before| match line {
+fn a_plan_is_shown_saved_and_confirmed_unchanged() {
+    let dir = TestDir::new();
+    let fake = FakeInstance::start(|line, previous| match line {
         PLANS => Reply::Json(200, plan()),
         CONFIRMATIONS => confirmation(1, &["entry-2", "entry-3"]),
-        REACH if before == 0 => Reply::Json(200, reach(2, &["entry-3"])),
+        REACH if previous == 0 => Reply::Json(200, reach(2, &["entry-3"])),
         REACH => Reply::Json(200, reach(3, &[])),
         _ => error(404, "no such path", "none"),
     });
     let intent = dir.file("intent.yaml", "remove: [{kind: pool, name: engine}]");
     let file = dir.path("plan.json");
     let args = ["plan", "-f", &intent, "-o", &file, "--operator", "anna"];
-    let ran = dir.ctl(&[fake.addr], &args);
-    assert_eq!(ran.code, 0, "{ran:?}");
+    let result = dir.ctl(&[fake.addr], &args);
+    assert_eq!(result.code, 0, "{result:?}");
     for part in ["plan c1, by anna", "remove pool \"engine\"", "warnings:"] {
-        assert!(ran.out.contains(part), "{ran:?}");
+        assert!(result.out.contains(part), "{result:?}");
     }
-    assert!(ran.err.contains("Nothing is in force yet"), "{ran:?}");
-    let asked = &fake.seen()[0];
-    assert_eq!(asked.operator, "anna");
+    assert!(result.err.contains("Nothing is in force yet"), "{result:?}");
+    let request = &fake.received()[0];
+    assert_eq!(request.operator, "anna");
     assert_eq!(
-        asked.body["remove"],
+        request.body["remove"],
         json!([{"kind": "pool", "name": "engine"}])
     );
     assert_eq!(confirmations(&fake), 0);
 
-    let ran = dir.ctl(&[fake.addr], &["confirm", &file]);
-    assert_eq!(ran.code, 0, "{ran:?}");
-    assert!(ran.err.contains("remove pool \"engine\""), "{ran:?}");
+    let result = dir.ctl(&[fake.addr], &["confirm", &file]);
+    assert_eq!(result.code, 0, "{result:?}");
+    assert!(result.err.contains("remove pool \"engine\""), "{result:?}");
     let line = "change c1 accepted at offset 7; in force on 3 of 3 listed instances\n";
-    assert_eq!(ran.out, line);
+    assert_eq!(result.out, line);
     let sent = fake
-        .seen()
+        .received()
         .into_iter()
-        .find(|seen| seen.line == CONFIRMATIONS);
+        .find(|received| received.line == CONFIRMATIONS);
     assert_eq!(sent.unwrap().body, plan());
 }
 
 #[test]
 fn an_intent_with_problems_is_not_sent() {
-    let dir = Dir::new();
-    let fake = Fake::start(|_, _| Reply::Json(200, plan()));
+    let dir = TestDir::new();
+    let fake = FakeInstance::start(|_, _| Reply::Json(200, plan()));
     let intent = "
 pools: [{name: Engine, kind: chat, price_micros_per_s: -1}]
 backends: [{name: e1, pool: engine, zone: hal-gouda, addr: engine:80, slots: 0}]
@@ -76,8 +77,8 @@
 pool: []
 ";
     let file = dir.file("intent.yaml", intent);
-    let ran = dir.ctl(&[fake.addr], &["plan", "-f", &file]);
-    assert_eq!((ran.code, fake.seen().len()), (3, 0));
+    let result = dir.ctl(&[fake.addr], &["plan", "-f", &file]);
+    assert_eq!((result.code, fake.received().len()), (3, 0));
     let parts = [
         "intent.yaml: pools[0].name: found \"Engine\"",
         "pools[0].kind: found \"chat\", allowed is encode, retrieve, rerank, generate, call",
@@ -94,15 +95,15 @@
         "pool: found an unknown field, allowed is one of pools, backends",
         "next: correct the intent",
     ];
-    assert_eq!(ran.err.lines().count(), parts.len(), "{}", ran.err);
+    assert_eq!(result.err.lines().count(), parts.len(), "{}", result.err);
     for part in parts {
-        assert!(ran.err.contains(part), "{part} in {}", ran.err);
+        assert!(result.err.contains(part), "{part} in {}", result.err);
     }
 }
 
 #[test]
 fn hostile_and_missing_files_are_refused() {
-    let dir = Dir::new();
+    let dir = TestDir::new();
     let bomb = format!(
         "a: &a [{}]\nb: &b [{}]\nc: &c [{}]\npools: [{}]\n",
         vec!["x"; 200].join(","),
@@ -121,120 +122,124 @@
         "!x {}",
     ] {
         let file = dir.file("intent.yaml", text);
-        let ran = dir.ctl(&[dead_addr()], &["plan", "-f", &file]);
-        assert_eq!(ran.code, 3, "{:.200}", ran.err);
-        assert!(ran.err.len() < 2_000);
+        let result = dir.ctl(&[unused_addr()], &["plan", "-f", &file]);
+        assert_eq!(result.code, 3, "{:.200}", result.err);
+        assert!(result.err.len() < 2_000);
     }
     let missing = dir.path("missing");
-    assert_eq!(dir.ctl(&[dead_addr()], &["plan", "-f", &missing]).code, 1);
-    assert_eq!(dir.ctl(&[dead_addr()], &["confirm", &missing]).code, 1);
+    assert_eq!(dir.ctl(&[unused_addr()], &["plan", "-f", &missing]).code, 1);
+    assert_eq!(dir.ctl(&[unused_addr()], &["confirm", &missing]).code, 1);
     for text in ["", "{}", "[]", "{\"change\": 5}", &deep] {
         let file = dir.file("plan.json", text);
-        assert_eq!(dir.ctl(&[dead_addr()], &["confirm", &file]).code, 3);
+        assert_eq!(dir.ctl(&[unused_addr()], &["confirm", &file]).code, 3);
     }
 }
 
 #[test]
-fn a_refused_intent_exits_3_with_the_instances_words() {
-    let dir = Dir::new();
-    let fake = Fake::start(|_, _| error(422, "pool \"x\" is not configured", "correct it"));
+fn a_refused_intent_exits_3_with_the_error_of_the_instance() {
+    let dir = TestDir::new();
+    let fake = FakeInstance::start(|_, _| error(422, "pool \"x\" is not configured", "correct it"));
     let file = dir.file("intent.yaml", "");
-    let ran = dir.ctl(&[fake.addr], &["plan", "-f", &file]);
-    assert_eq!(ran.code, 3);
+    let result = dir.ctl(&[fake.addr], &["plan", "-f", &file]);
+    assert_eq!(result.code, 3);
     assert!(
-        ran.err
+        result
+            .err
             .contains("pool \"x\" is not configured\nnext: correct it"),
-        "{ran:?}"
+        "{result:?}"
     );
 }
 
 #[test]
-fn an_instance_without_a_configuration_is_passed_over() {
-    let dir = Dir::new();
+fn an_instance_without_a_configuration_is_skipped() {
+    let dir = TestDir::new();
     let file = dir.file("intent.yaml", "");
-    let new = Fake::start(|_, _| error(503, "no configuration yet", "ask another one"));
-    let old = Fake::start(|_, _| Reply::Json(200, plan()));
-    let ran = dir.ctl(&[new.addr, old.addr], &["plan", "-f", &file]);
-    assert_eq!((ran.code, new.seen().len()), (0, 1), "{ran:?}");
-    let ran = dir.ctl(&[new.addr, dead_addr()], &["plan", "-f", &file]);
-    assert_eq!(ran.code, 1);
-    assert!(ran.err.contains("next: ask another one"), "{ran:?}");
+    let new = FakeInstance::start(|_, _| error(503, "no configuration yet", "ask another one"));
+    let old = FakeInstance::start(|_, _| Reply::Json(200, plan()));
+    let result = dir.ctl(&[new.addr, old.addr], &["plan", "-f", &file]);
+    assert_eq!((result.code, new.received().len()), (0, 1), "{result:?}");
+    let result = dir.ctl(&[new.addr, unused_addr()], &["plan", "-f", &file]);
+    assert_eq!(result.code, 1);
+    assert!(result.err.contains("next: ask another one"), "{result:?}");
 }
 
 #[test]
 fn a_confirm_whose_answer_is_lost_is_sent_again_as_the_same_change() {
-    let dir = Dir::new();
+    let dir = TestDir::new();
     let file = dir.file("plan.json", &plan().to_string());
-    let lossy = Fake::start(|_, _| Reply::Cut);
-    let busy = Fake::start(|line, before| match line {
-        CONFIRMATIONS if before == 0 => error(503, "not read back in time", "again"),
+    let lossy = FakeInstance::start(|_, _| Reply::Disconnect);
+    let busy = FakeInstance::start(|line, previous| match line {
+        CONFIRMATIONS if previous == 0 => error(503, "not read back in time", "again"),
         _ => confirmation(3, &[]),
     });
-    let ran = dir.ctl(&[dead_addr(), lossy.addr, busy.addr], &["confirm", &file]);
-    assert_eq!(ran.code, 0, "{ran:?}");
+    let result = dir.ctl(&[unused_addr(), lossy.addr, busy.addr], &["confirm", &file]);
+    assert_eq!(result.code, 0, "{result:?}");
     assert_eq!((confirmations(&lossy), confirmations(&busy)), (2, 2));
-    for seen in lossy.seen().iter().chain(&busy.seen()) {
-        assert_eq!(seen.body, plan());
+    for received in lossy.received().iter().chain(&busy.received()) {
+        assert_eq!(received.body, plan());
     }
 }
 
 #[test]
 fn a_confirm_without_any_answer_is_not_called_failed() {
-    let dir = Dir::new();
+    let dir = TestDir::new();
     let file = dir.file("plan.json", &plan().to_string());
-    let lossy = Fake::start(|_, _| Reply::Cut);
-    let ran = dir.ctl(&[lossy.addr, dead_addr()], &["confirm", &file]);
-    assert_eq!(ran.code, 7);
-    assert!(ran.err.contains("run the same confirm again"), "{ran:?}");
+    let lossy = FakeInstance::start(|_, _| Reply::Disconnect);
+    let result = dir.ctl(&[lossy.addr, unused_addr()], &["confirm", &file]);
+    assert_eq!(result.code, 7);
+    assert!(
+        result.err.contains("run the same confirm again"),
+        "{result:?}"
+    );
 
-    let stranger = Fake::start(|_, _| error(401, "the credential is wrong", "none"));
-    let admins = [lossy.addr, stranger.addr];
+    let unauthorized = FakeInstance::start(|_, _| error(401, "the credential is wrong", "none"));
+    let admins = [lossy.addr, unauthorized.addr];
     assert_eq!(dir.ctl(&admins, &["confirm", &file]).code, 7);
 
-    let broken = Fake::start(|_, _| error(500, "broken", "none"));
+    let broken = FakeInstance::start(|_, _| error(500, "broken", "none"));
     assert_eq!(dir.ctl(&[broken.addr], &["confirm", &file]).code, 7);
-    let elsewhere = Fake::start(|_, _| Reply::Json(404, json!("no such page")));
+    let elsewhere = FakeInstance::start(|_, _| Reply::Json(404, json!("no such page")));
     assert_eq!(dir.ctl(&[elsewhere.addr], &["confirm", &file]).code, 1);
 
-    let ran = dir.ctl(&[dead_addr()], &["confirm", &file]);
-    assert_eq!(ran.code, 4);
-    assert!(ran.err.contains("nothing was changed"), "{ran:?}");
+    let result = dir.ctl(&[unused_addr()], &["confirm", &file]);
+    assert_eq!(result.code, 4);
+    assert!(result.err.contains("nothing was changed"), "{result:?}");
 }
 
 #[test]
 fn a_conflict_is_final() {
-    let dir = Dir::new();
+    let dir = TestDir::new();
     let file = dir.file("plan.json", &plan().to_string());
-    let fake = Fake::start(|_, _| error(409, "pool \"engine\" was changed", "plan again"));
-    let other = Fake::start(|_, _| confirmation(3, &[]));
-    let ran = dir.ctl(&[fake.addr, other.addr], &["confirm", &file]);
+    let fake = FakeInstance::start(|_, _| error(409, "pool \"engine\" was changed", "plan again"));
+    let other = FakeInstance::start(|_, _| confirmation(3, &[]));
+    let result = dir.ctl(&[fake.addr, other.addr], &["confirm", &file]);
     assert_eq!(
-        (ran.code, confirmations(&fake), confirmations(&other)),
+        (result.code, confirmations(&fake), confirmations(&other)),
         (5, 1, 0)
     );
-    assert!(ran.err.contains("next: plan again"), "{ran:?}");
+    assert!(result.err.contains("next: plan again"), "{result:?}");
 }
 
 #[test]
-fn a_change_that_is_not_everywhere_in_time_exits_8_with_the_count() {
-    let dir = Dir::new();
+fn a_change_not_in_force_everywhere_in_time_exits_8_with_the_count() {
+    let dir = TestDir::new();
     let file = dir.file("plan.json", &plan().to_string());
-    let fake = Fake::start(|line, before| match line {
+    let fake = FakeInstance::start(|line, previous| match line {
         CONFIRMATIONS => confirmation(1, &["entry-2", "entry-3"]),
-        // It may come and go while it is asked.
-        _ if before == 0 => Reply::Cut,
+        // The instance fails to respond to the first poll.
+        _ if previous == 0 => Reply::Disconnect,
         _ => Reply::Json(200, reach(2, &["entry-3"])),
     });
     let args = ["--json", "confirm", &file, "--yes", "--wait-ms", "500"];
-    let ran = dir.ctl(&[fake.addr], &args);
+    let result = dir.ctl(&[fake.addr], &args);
     assert_eq!(
-        (ran.code, &ran.json()["reach"]),
+        (result.code, &result.json()["reach"]),
         (8, &reach(2, &["entry-3"]))
     );
-    assert!(ran.err.contains("2 of 3"), "{ran:?}");
-    let ran = dir.ctl(&[fake.addr], &["confirm", &file, "--wait-ms", "0"]);
+    assert!(result.err.contains("2 of 3"), "{result:?}");
+    let result = dir.ctl(&[fake.addr], &["confirm", &file, "--wait-ms", "0"]);
     assert!(
-        ran.out.contains("not yet reported by entry-2, entry-3"),
-        "{ran:?}"
+        result.out.contains("not yet reported by entry-2, entry-3"),
+        "{result:?}"
     );
 }
--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the real binary against small fakes of the operators' interface.
+//! Runs the `savoryvanectl` binary against fake instances of the operators' interface.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -25,37 +25,37 @@
 
 pub const CREDENTIAL: &str = "operator-secret-42";
 
-/// What a fake does with a request.
+/// Reaction of a fake instance to a request.
 pub enum Reply {
-    /// Answers with a status and JSON.
+    /// Responds with a status and JSON.
     Json(u16, Value),
-    /// Answers 200 with these bytes.
+    /// Responds with status 200 and this text.
     Raw(&'static str),
-    /// Closes the connection without an answer.
-    Cut,
+    /// Closes the connection without a response.
+    Disconnect,
 }
 
-/// A request as a fake received it.
+/// A request that a fake instance received.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     pub line: String,
     pub authorization: String,
     pub operator: String,
     pub body: Value,
 }
 
-/// A fake instance that answers as its closure says.
-pub struct Fake {
+/// A fake instance whose responses come from a closure.
+pub struct FakeInstance {
     pub addr: SocketAddr,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
 }
 
-impl Fake {
-    /// Starts a fake; `answer` gets the request line and how many requests with
-    /// the same line came before.
-    pub fn start(answer: impl Fn(&str, usize) -> Reply + Send + Sync + 'static) -> Self {
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let (answer, log) = (Arc::new(answer), Arc::clone(&seen));
+impl FakeInstance {
+    /// Starts a fake instance; `respond` gets the request line and the number of earlier
+    /// requests with the same line.
+    pub fn start(respond: impl Fn(&str, usize) -> Reply + Send + Sync + 'static) -> Self {
+        let received = Arc::new(Mutex::new(Vec::new()));
+        let (respond, log) = (Arc::new(respond), Arc::clone(&received));
         let (addr_out, addr_in) = std::sync::mpsc::channel();
         thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread()
@@ -66,10 +66,10 @@
                 let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
                 addr_out.send(listener.local_addr().unwrap()).unwrap();
                 while let Ok((stream, _)) = listener.accept().await {
-                    let (answer, log) = (Arc::clone(&answer), Arc::clone(&log));
+                    let (respond, log) = (Arc::clone(&respond), Arc::clone(&log));
                     let service = service_fn(move |request| {
-                        let (answer, log) = (Arc::clone(&answer), Arc::clone(&log));
-                        async move { handle(request, &*answer, &log).await }
+                        let (respond, log) = (Arc::clone(&respond), Arc::clone(&log));
+                        async move { handle(request, &*respond, &log).await }
                     });
                     let io = TokioIo::new(stream);
                     tokio::spawn(http1::Builder::new().serve_connection(io, service));
@@ -77,14 +77,14 @@
             });
         });
         let addr = addr_in.recv().unwrap();
-        Self { addr, seen }
+        Self { addr, received }
     }
 
-    /// Starts a fake that gives each request line of `answers` its JSON.
-    pub fn with(answers: &[(&'static str, Value)]) -> Self {
-        let answers = answers.to_vec();
+    /// Starts a fake instance that responds to each request line in `responses` with its JSON.
+    pub fn with(responses: &[(&'static str, Value)]) -> Self {
+        let responses = responses.to_vec();
         Self::start(move |line, _| {
-            let known = answers.iter().find(|(known, _)| *known == line);
+            let known = responses.iter().find(|(known, _)| *known == line);
             known.map_or_else(
                 || error(404, "no such path", "see the docs"),
                 |(_, body)| Reply::Json(200, body.clone()),
@@ -92,16 +92,16 @@
         })
     }
 
-    /// Requests received so far.
-    pub fn seen(&self) -> Vec<Seen> {
-        self.seen.lock().unwrap().clone()
+    /// Returns the requests received so far.
+    pub fn received(&self) -> Vec<ReceivedRequest> {
+        self.received.lock().unwrap().clone()
     }
 }
 
 async fn handle(
     request: Request<Incoming>,
-    answer: &(dyn Fn(&str, usize) -> Reply + Send + Sync),
-    log: &Mutex<Vec<Seen>>,
+    respond: &(dyn Fn(&str, usize) -> Reply + Send + Sync),
+    log: &Mutex<Vec<ReceivedRequest>>,
 ) -> Result<Response<Full<Bytes>>, Box<dyn std::error::Error + Send + Sync>> {
     let header = |name: &str| {
         let value = request.headers().get(name);
@@ -111,55 +111,55 @@
     let (authorization, operator) = (header("authorization"), header("x-operator"));
     let body = request.into_body().collect().await?.to_bytes();
     let body = serde_json::from_slice(&body).unwrap_or_default();
-    let before = {
+    let previous = {
         let mut log = log.lock().unwrap();
-        let before = log.iter().filter(|seen| seen.line == line).count();
-        log.push(Seen {
+        let previous = log.iter().filter(|received| received.line == line).count();
+        log.push(ReceivedRequest {
             line: line.clone(),
             authorization,
             operator,
             body,
         });
-        before
+        previous
     };
-    match answer(&line, before) {
+    match respond(&line, previous) {
         Reply::Json(status, body) => Ok(Response::builder()
             .status(StatusCode::from_u16(status)?)
             .body(body.to_string().into())?),
         Reply::Raw(text) => Ok(Response::new(text.into())),
-        Reply::Cut => Err("cut".into()),
+        Reply::Disconnect => Err("cut".into()),
     }
 }
 
-/// An error as the interface answers it.
+/// Returns an error response of the interface.
 pub fn error(status: u16, error: &str, next_step: &str) -> Reply {
     Reply::Json(status, json!({"error": error, "next_step": next_step}))
 }
 
-/// An address on which nothing listens.
-pub fn dead_addr() -> SocketAddr {
+/// Returns an address on which nothing listens.
+pub fn unused_addr() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
 }
 
-/// What a run of the binary left.
+/// Exit code and output of a run of the binary.
 #[derive(Debug)]
-pub struct Ran {
+pub struct RunResult {
     pub code: i32,
     pub out: String,
     pub err: String,
 }
 
-impl Ran {
+impl RunResult {
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.out).unwrap()
     }
 }
 
-/// A directory of its own for each test, removed with it.
-pub struct Dir(PathBuf);
+/// A temporary directory, removed on drop.
+pub struct TestDir(PathBuf);
 
-impl Dir {
+impl TestDir {
     pub fn new() -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -186,7 +186,7 @@
     }
 
     /// Runs the binary with the credential against `admins`.
-    pub fn ctl(&self, admins: &[SocketAddr], args: &[&str]) -> Ran {
+    pub fn ctl(&self, admins: &[SocketAddr], args: &[&str]) -> RunResult {
         let admins: Vec<_> = admins.iter().map(|addr| addr.to_string()).collect();
         let (admins, credential) = (admins.join(","), self.path("credential"));
         let mut all = vec!["--admin", &admins, "--credential-file", &credential];
@@ -195,51 +195,51 @@
     }
 }
 
-impl Drop for Dir {
+impl Drop for TestDir {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-/// Runs the binary without a terminal or settings from the environment.
-pub fn run(args: &[&str]) -> Ran {
-    run_with(args, &[])
+/// Runs the binary without a terminal and without settings in the environment.
+pub fn run(args: &[&str]) -> RunResult {
+    run_with_env(args, &[])
 }
 
-/// Runs the binary with variables of the environment.
-pub fn run_with(args: &[&str], variables: &[(&str, &str)]) -> Ran {
-    let done = Command::new(env!("CARGO_BIN_EXE_savoryvanectl"))
+/// Runs the binary with environment variables.
+pub fn run_with_env(args: &[&str], variables: &[(&str, &str)]) -> RunResult {
+    let output = Command::new(env!("CARGO_BIN_EXE_savoryvanectl"))
         .args(args)
         .env_remove("SAVORYVANE_ADMIN")
         .envs(variables.iter().copied())
         .stdin(Stdio::null())
         .output()
         .unwrap();
-    let ran = Ran {
-        code: done.status.code().unwrap(),
-        out: String::from_utf8(done.stdout).unwrap(),
-        err: String::from_utf8(done.stderr).unwrap(),
+    let result = RunResult {
+        code: output.status.code().unwrap(),
+        out: String::from_utf8(output.stdout).unwrap(),
+        err: String::from_utf8(output.stderr).unwrap(),
     };
-    assert!(!ran.err.contains("panicked"), "{ran:?}");
-    ran
+    assert!(!result.err.contains("panicked"), "{result:?}");
+    result
 }
 
 /// Runs the binary with `input` on its standard input.
-pub fn run_on(args: &[&str], input: &[u8]) -> Output {
+pub fn run_with_input(args: &[&str], input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_savoryvanectl"))
         .args(args)
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the program");
-    let mut lines = child.stdin.take().expect("its input");
-    lines.write_all(input).expect("lines");
-    drop(lines);
-    child.wait_with_output().expect("its end")
+        .expect("the binary starts");
+    let mut stdin = child.stdin.take().expect("stdin is piped");
+    stdin.write_all(input).expect("the binary reads its input");
+    drop(stdin);
+    child.wait_with_output().expect("the binary exits")
 }
 
-/// A plan with one step.
+/// Returns a plan with one change.
 pub fn plan() -> Value {
     let key = json!({"kind": "pool", "name": "engine"});
     json!({
@@ -250,12 +250,12 @@
     })
 }
 
-/// How far the change of [`plan`] has come.
+/// Returns the reach of the change of [`plan`].
 pub fn reach(in_force: u32, missing: &[&str]) -> Value {
     json!({"offset": 7, "in_force": in_force, "listed": 3, "missing": missing})
 }
 
-/// Status of an instance.
+/// Returns the status of an instance.
 pub fn status(instance: &str, incarnation: u64) -> Value {
     json!({
         "instance": instance, "incarnation": incarnation, "zone": "hal-gouda", "ready": true,
--- a/crates/ctl/tests/costs.rs
+++ b/crates/ctl/tests/costs.rs
@@ -1,8 +1,8 @@
-//! The cost report: whole, counted once, summed and shared out right.
+//! The cost report: complete, without double counting, with correct sums and shares.
 
 mod common;
 
-use common::{Dir, Fake, Reply, dead_addr, status};
+use common::{FakeInstance, Reply, TestDir, status, unused_addr};
 use serde_json::{Value, json};
 
 fn line(workspace: &str, pipeline: &str, stage: &str, cost: u64, wasted: u64) -> Value {
@@ -12,20 +12,20 @@
     })
 }
 
-/// An instance that has booked `lines`; the list knows `listed`.
-fn instance(name: &'static str, incarnation: u64, lines: Value, listed: &[&str]) -> Fake {
+/// Starts a fake instance with the cost lines `lines` and the list of instances `listed`.
+fn instance(name: &'static str, incarnation: u64, lines: Value, listed: &[&str]) -> FakeInstance {
     let views: Vec<Value> = listed
         .iter()
         .map(|name| json!({"name": name, "zone": "hal-gouda", "state": "live"}))
         .collect();
-    Fake::with(&[
+    FakeInstance::with(&[
         ("GET /admin/v1/status", status(name, incarnation)),
         ("GET /admin/v1/costs", lines),
         ("GET /admin/v1/instances", json!(views)),
     ])
 }
 
-fn two_instances() -> [Fake; 2] {
+fn two_instances() -> [FakeInstance; 2] {
     let listed = ["entry-1", "entry-2"];
     let lines = json!([
         line("vakwerk", "quote", "write", 6_000_000, 1_500_000),
@@ -42,11 +42,11 @@
 }
 
 #[test]
-fn sums_every_instance_with_shares_and_wasted_work_apart() {
-    let dir = Dir::new();
+fn sums_all_instances_with_shares_and_wasted_work() {
+    let dir = TestDir::new();
     let [one, two] = two_instances();
-    let ran = dir.ctl(&[one.addr, two.addr], &["costs"]);
-    assert_eq!((ran.code, ran.err.as_str()), (0, ""));
+    let result = dir.ctl(&[one.addr, two.addr], &["costs"]);
+    assert_eq!((result.code, result.err.as_str()), (0, ""));
     let expected = "\
 WORKSPACE  PIPELINE  STAGE   CALLS  BUSY s       COST  SHARE %      USED    WASTED  WASTED %
 vakwerk    quote     write       4   3.000   8.000000     80.0  6.000000  2.000000      25.0
@@ -54,12 +54,12 @@
 vakwerk    quote     encode      2   1.500   0.500000      5.0  0.500000  0.000000       0.0
 total                            8   6.000  10.000001    100.0  8.000000  2.000001      20.0
 ";
-    assert_eq!(ran.out, expected);
+    assert_eq!(result.out, expected);
 }
 
 #[test]
 fn sums_by_stage_pipeline_and_workspace() {
-    let dir = Dir::new();
+    let dir = TestDir::new();
     let [one, two] = two_instances();
     let admins = [one.addr, two.addr];
     let cases = [
@@ -68,11 +68,11 @@
         ("workspace", "vakwerk        6", 4),
     ];
     for (by, start, lines) in cases {
-        let ran = dir.ctl(&admins, &["costs", "--by", by]);
-        assert_eq!(ran.out.lines().count(), lines, "{ran:?}");
+        let result = dir.ctl(&admins, &["costs", "--by", by]);
+        assert_eq!(result.out.lines().count(), lines, "{result:?}");
         assert!(
-            ran.out.lines().nth(1).unwrap().starts_with(start),
-            "{ran:?}"
+            result.out.lines().nth(1).unwrap().starts_with(start),
+            "{result:?}"
         );
     }
     let report = dir
@@ -86,15 +86,15 @@
 
 #[test]
 fn writes_comma_separated_values_to_a_file() {
-    let dir = Dir::new();
+    let dir = TestDir::new();
     let lines = json!([
         line("a,b", "say \"x\"", "write", 3, 1),
         line("w", "p", "s", 1, 0)
     ]);
     let fake = instance("entry-1", 1, lines, &["entry-1"]);
     let file = dir.file("report.csv", "old");
-    let ran = dir.ctl(&[fake.addr], &["costs", "--csv", "-o", &file]);
-    assert_eq!((ran.code, ran.out.as_str()), (0, ""), "{ran:?}");
+    let result = dir.ctl(&[fake.addr], &["costs", "--csv", "-o", &file]);
+    assert_eq!((result.code, result.out.as_str()), (0, ""), "{result:?}");
     let expected = "\
 row,workspace,pipeline,stage,calls,busy_us,cost_micros,share_percent,used_micros,wasted_micros,wasted_percent
 line,\"a,b\",\"say \"\"x\"\"\",write,2,1500000,3,75.000,2,1,33.333
@@ -103,13 +103,13 @@
 ";
     assert_eq!(dir.read("report.csv"), expected);
     let missing = dir.path("no/such/dir.csv");
-    let ran = dir.ctl(&[fake.addr], &["costs", "--csv", "-o", &missing]);
-    assert_eq!(ran.code, 1);
+    let result = dir.ctl(&[fake.addr], &["costs", "--csv", "-o", &missing]);
+    assert_eq!(result.code, 1);
 }
 
 #[test]
 fn an_instance_with_two_addresses_counts_once() {
-    let dir = Dir::new();
+    let dir = TestDir::new();
     let lines = json!([line("w", "p", "s", 5, 0)]);
     let one = instance("entry-1", 1, lines.clone(), &["entry-1"]);
     let same = instance("entry-1", 1, lines, &["entry-1"]);
@@ -119,49 +119,56 @@
 
 #[test]
 fn a_partial_report_is_refused_unless_asked_for() {
-    let dir = Dir::new();
+    let dir = TestDir::new();
     let [one, _two] = two_instances();
-    let dead = dead_addr();
+    let dead = unused_addr();
     let file = dir.path("report.csv");
-    let ran = dir.ctl(&[one.addr, dead], &["costs", "--csv", "-o", &file]);
-    assert_eq!((ran.code, ran.out.as_str()), (4, ""));
+    let result = dir.ctl(&[one.addr, dead], &["costs", "--csv", "-o", &file]);
+    assert_eq!((result.code, result.out.as_str()), (4, ""));
     assert!(!std::fs::exists(&file).unwrap());
 
-    let ran = dir.ctl(&[one.addr, dead], &["costs", "--partial"]);
-    assert_eq!(ran.code, 0, "{ran:?}");
+    let result = dir.ctl(&[one.addr, dead], &["costs", "--partial"]);
+    assert_eq!(result.code, 0, "{result:?}");
     assert!(
-        ran.err.contains(&format!("no answer from {dead}")),
-        "{ran:?}"
+        result.err.contains(&format!("no answer from {dead}")),
+        "{result:?}"
     );
     assert_eq!(dir.ctl(&[dead], &["costs", "--partial"]).code, 4);
-    let ran = dir.ctl(&[one.addr, dead], &["--json", "costs", "--partial"]);
-    let report = ran.json();
+    let result = dir.ctl(&[one.addr, dead], &["--json", "costs", "--partial"]);
+    let report = result.json();
     assert_eq!(report["unreachable"], json!([dead.to_string()]));
     assert_eq!(report["not_asked"], json!(["entry-2"]));
 }
 
 #[test]
-fn names_instances_that_were_not_asked() {
-    let dir = Dir::new();
+fn names_instances_that_were_not_queried() {
+    let dir = TestDir::new();
     let [one, _two] = two_instances();
-    let ran = dir.ctl(&[one.addr], &["costs"]);
-    assert_eq!(ran.code, 0);
-    assert!(ran.err.contains("not in the sums: entry-2"), "{ran:?}");
+    let result = dir.ctl(&[one.addr], &["costs"]);
+    assert_eq!(result.code, 0);
+    assert!(
+        result.err.contains("not in the sums: entry-2"),
+        "{result:?}"
+    );
 }
 
 #[test]
-fn an_empty_book_has_no_share() {
-    let dir = Dir::new();
+fn an_empty_report_has_no_share() {
+    let dir = TestDir::new();
     let fake = instance("entry-1", 1, json!([]), &["entry-1"]);
-    let ran = dir.ctl(&[fake.addr], &["costs"]);
-    assert_eq!((ran.code, ran.out.lines().count()), (0, 2), "{ran:?}");
-    assert!(ran.out.contains("0.000000"));
-    let absurd = json!([
+    let result = dir.ctl(&[fake.addr], &["costs"]);
+    assert_eq!(
+        (result.code, result.out.lines().count()),
+        (0, 2),
+        "{result:?}"
+    );
+    assert!(result.out.contains("0.000000"));
+    let overflowing = json!([
         line("w", "p", "s", u64::MAX, u64::MAX),
         line("w", "p", "s", 9, 10)
     ]);
-    let fake = instance("entry-1", 1, absurd, &["entry-1"]);
+    let fake = instance("entry-1", 1, overflowing, &["entry-1"]);
     assert_eq!(dir.ctl(&[fake.addr], &["costs"]).code, 0);
-    let cut = Fake::start(|_, _| Reply::Cut);
+    let cut = FakeInstance::start(|_, _| Reply::Disconnect);
     assert_eq!(dir.ctl(&[cut.addr], &["costs"]).code, 4);
 }
--- a/crates/ctl/tests/explain.rs
+++ b/crates/ctl/tests/explain.rs
@@ -1,14 +1,14 @@
-//! `savoryvanectl explain`, as an operator runs it, on lines of a played day; the
-//! operators' page shows what it prints.
+//! Runs `savoryvanectl explain` on recorded log lines; the operators' page shows the
+//! same output.
 
 mod common;
 
 use std::{fs, path::PathBuf, process::Output};
 
-use common::run_on;
+use common::run_with_input;
 
-/// The requests that the page explains, with the lines of their day.
-const WALKS: [(&str, &str); 3] = [
+/// Log file and request identifier of each example on the operators' page.
+const PAGE_EXAMPLES: [(&str, &str); 3] = [
     ("burst", "b9be3820a9282112"),
     ("answer_lost", "a1283417b017f6ee"),
     ("cut_off", "2680628b7c465751"),
@@ -19,13 +19,13 @@
 }
 
 fn explain(request: &str, logs: &[u8]) -> Output {
-    run_on(&["explain", request], logs)
+    run_with_input(&["explain", request], logs)
 }
 
 #[test]
 fn the_page_shows_what_the_command_prints() {
     let page = fs::read_to_string(manifest("../../docs/OPERATIONS.md")).unwrap();
-    for (name, request) in WALKS {
+    for (name, request) in PAGE_EXAMPLES {
         let logs = fs::read(manifest(&format!("tests/explain_logs/{name}.jsonl"))).unwrap();
         let output = explain(request, &logs);
         assert!(output.status.success());
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_request_that_no_line_names_is_told_so() {
+fn an_unknown_request_is_an_error() {
     let output = explain("r9", b"");
     assert_eq!(output.status.code(), Some(1));
     let errors = String::from_utf8(output.stderr).unwrap();
@@ -66,7 +66,8 @@
     );
 }
 
-/// From a request that was refused since servers ended under it, to these ends.
+/// The explanation of a quarantined request includes the earlier crashes of servers that
+/// ran the same request under other identifiers, but not later ones.
 #[test]
 fn a_quarantined_request_leads_to_the_servers_that_ended() {
     let logs = br#"{"msg":"server crashed under request","ts":"2026-01-01T00:00:01Z","instance":"a","request":"r1","digest":"d1","server":"i-1","ends":1,"evidence":"refused"}
