--- a/crates/ctl/src/confirm.rs
+++ b/crates/ctl/src/confirm.rs
@@ -13,8 +13,8 @@
     settings::Settings,
 };
 
-/// Number of times that each address is tried.
-const ROUNDS: u32 = 3;
+/// Maximum number of times that each address is tried.
+const MAX_ROUNDS: u32 = 3;
 /// Time between two rounds.
 const ROUND_INTERVAL: Duration = Duration::from_millis(300);
 /// Time between two polls of where a change is in force.
@@ -30,7 +30,7 @@
 pub(crate) async fn confirm(settings: &Settings, plan: &Plan) -> Result<Confirmation> {
     let mut unknown_reason = None;
     let mut failures = Vec::new();
-    for round in 0..ROUNDS {
+    for round in 0..MAX_ROUNDS {
         if round > 0 {
             time::sleep(ROUND_INTERVAL).await;
         }
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -118,6 +118,6 @@
             value => format!("{name}={value}"),
         })
         .collect();
-    let (at, instance, message) = (&line.timestamp, &line.instance, &line.message);
-    format!("{at}  {instance}  {message}  {}", fields.join(" "))
+    let (timestamp, instance, message) = (&line.timestamp, &line.instance, &line.message);
+    format!("{timestamp}  {instance}  {message}  {}", fields.join(" "))
 }
--- a/crates/ctl/tests/changes.rs
+++ b/crates/ctl/tests/changes.rs
@@ -27,10 +27,10 @@
 #[test]
 fn a_plan_is_shown_saved_and_confirmed_unchanged() {
     let dir = TestDir::new();
-    let fake = FakeInstance::start(|line, previous| match line {
+    let fake = FakeInstance::start(|line, previous_count| match line {
         PLANS => Reply::Json(200, plan()),
         CONFIRMATIONS => confirmation(1, &["entry-2", "entry-3"]),
-        REACH if previous == 0 => Reply::Json(200, reach(2, &["entry-3"])),
+        REACH if previous_count == 0 => Reply::Json(200, reach(2, &["entry-3"])),
         REACH => Reply::Json(200, reach(3, &[])),
         _ => error(404, "no such path", "none"),
     });
@@ -168,8 +168,8 @@
     let dir = TestDir::new();
     let file = dir.file("plan.json", &plan().to_string());
     let lossy = FakeInstance::start(|_, _| Reply::Disconnect);
-    let busy = FakeInstance::start(|line, previous| match line {
-        CONFIRMATIONS if previous == 0 => error(503, "not read back in time", "again"),
+    let busy = FakeInstance::start(|line, previous_count| match line {
+        CONFIRMATIONS if previous_count == 0 => error(503, "not read back in time", "again"),
         _ => confirmation(3, &[]),
     });
     let result = dir.ctl(&[unused_addr(), lossy.addr, busy.addr], &["confirm", &file]);
@@ -224,10 +224,10 @@
 fn a_change_not_in_force_everywhere_in_time_exits_8_with_the_count() {
     let dir = TestDir::new();
     let file = dir.file("plan.json", &plan().to_string());
-    let fake = FakeInstance::start(|line, previous| match line {
+    let fake = FakeInstance::start(|line, previous_count| match line {
         CONFIRMATIONS => confirmation(1, &["entry-2", "entry-3"]),
         // The instance fails to respond to the first poll.
-        _ if previous == 0 => Reply::Disconnect,
+        _ if previous_count == 0 => Reply::Disconnect,
         _ => Reply::Json(200, reach(2, &["entry-3"])),
     });
     let args = ["--json", "confirm", &file, "--yes", "--wait-ms", "500"];
--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -111,18 +111,18 @@
     let (authorization, operator) = (header("authorization"), header("x-operator"));
     let body = request.into_body().collect().await?.to_bytes();
     let body = serde_json::from_slice(&body).unwrap_or_default();
-    let previous = {
+    let previous_count = {
         let mut log = log.lock().unwrap();
-        let previous = log.iter().filter(|received| received.line == line).count();
+        let previous_count = log.iter().filter(|received| received.line == line).count();
         log.push(ReceivedRequest {
             line: line.clone(),
             authorization,
             operator,
             body,
         });
-        previous
+        previous_count
     };
-    match respond(&line, previous) {
+    match respond(&line, previous_count) {
         Reply::Json(status, body) => Ok(Response::builder()
             .status(StatusCode::from_u16(status)?)
             .body(body.to_string().into())?),
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -254,7 +254,7 @@
 messages! {
     /// Opens a gossip stream.
     1 Hello(Hello),
-    /// Digests of instances in the sender's zone.
+    /// Digests of instances of one zone.
     2 Digests(DigestBatch),
     /// Announces that an instance or backend server is leaving.
     3 Leaving(LeavingNotice),
--- a/crates/wire/tests/quarantine.rs
+++ b/crates/wire/tests/quarantine.rs
@@ -23,7 +23,7 @@
 
 #[test]
 fn stored_crashes_round_trip() {
-    // No crashes revoke the quarantine; ten is the maximum that is stored.
+    // A record without crashes removes the request; at most ten crashes are stored.
     for crash_count in [0, 3, 10] {
         let crashes = stored(crash_count, "press");
         assert_eq!(decode(&encode(&crashes).unwrap()).unwrap(), crashes);
