--- a/crates/ctl/src/admin.rs
+++ b/crates/ctl/src/admin.rs
@@ -40,10 +40,10 @@
 /// Result of a call to one address.
 pub(crate) type AddressResult<T> = (SocketAddr, Result<T>);
 
-/// Addresses that did not respond, call_all with the reason.
+/// Addresses that did not respond, each with the reason.
 pub(crate) type Failures = Vec<(SocketAddr, String)>;
 
-/// Separates responses from unreachable addresses; returns call_first_available other error.
+/// Separates responses from unreachable addresses; returns any other error.
 pub(crate) fn split_unreachable<T>(
     results: Vec<AddressResult<T>>,
 ) -> Result<(Vec<(SocketAddr, T)>, Failures)> {
@@ -119,7 +119,7 @@
             .await
     }
 
-    /// Requests the costs from call_all of `addrs`.
+    /// Requests the costs from each of `addrs`.
     pub(crate) async fn costs(self, addrs: &[SocketAddr]) -> Vec<AddressResult<Vec<CostLine>>> {
         self.call_all(&Call::get(COSTS), addrs).await
     }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -260,7 +260,7 @@
     3 Leaving(LeavingNotice),
     /// Digests of other zones, or of the sender's zone when sent to another zone.
     4 Zones(Vec<ZoneDigest>),
-    /// Reports the demand of workspaces; a request.
+    /// Request that reports the demand of workspaces.
     5 UsageReport(UsageReport),
     /// Response to a usage report.
     6 UsageGrant(UsageGrant),
@@ -268,57 +268,57 @@
     7 ConfigHead(ConfigHead),
     /// Records of the configuration stream, relayed or sent in response to a query.
     8 ConfigRecords(ConfigRecords),
-    /// Requests configuration records; a request.
+    /// Request for configuration records.
     9 ConfigRecordsQuery(ConfigRecordsQuery),
-    /// Requests a part of the configuration state; a request.
+    /// Request for a part of the configuration state.
     10 ConfigSnapshotQuery(ConfigSnapshotQuery),
     /// Response to [`ConfigSnapshotQuery`].
     11 ConfigSnapshotPart(ConfigSnapshotPart),
-    /// Requests a stored answer; a request.
+    /// Request for a stored answer.
     12 AnswerQuery(AnswerQuery),
     /// Response to [`AnswerQuery`] and to [`TicketRun`].
     13 AnswerState(AnswerState),
-    /// Requests that the receiver runs the request of a ticket; a request.
+    /// Request to run the pipeline request of a ticket.
     14 TicketRun(TicketRun),
-    /// Claims to append in the receiver's next batch; a request.
+    /// Request to append claims in the receiver's next batch.
     15 ClaimAppend(ClaimAppend),
     /// Response to [`ClaimAppend`].
     16 ClaimAppended(ClaimAppended),
     /// Response of a receiver that does not serve the request now.
     17 Declined(Declined),
-    /// Submits the stages of a pipeline request for scheduling; a request.
+    /// Request to schedule the stages of a pipeline request.
     18 StageSubmission(Submission),
     /// Response to a stage submission, sent once the stages have ended.
     19 StageOutcome(StageOutcome),
-    /// Releases the results of a pipeline request that are no longer needed; a request.
+    /// Request to release results of a pipeline request that are no longer needed.
     20 StageRelease(RequestKey),
     /// Response without content.
     21 Ack(Ack),
-    /// Asks whether the receiver is a scheduler; a request.
+    /// Request for the receiver's scheduler state.
     26 SchedulerQuery(SchedulerQuery),
     /// Response to [`SchedulerQuery`].
     36 SchedulerState(SchedulerState),
-    /// Requests routes, servers and instances; a request.
+    /// Request for routes, servers and instances.
     37 RoutingQuery(RoutingQuery),
     /// Response to [`RoutingQuery`].
     38 RoutingState(RoutingState),
-    /// Exchanges reports of servers that crashed while they ran requests; a request.
+    /// Request that exchanges reports of servers that crashed while they ran requests.
     30 CrashQuery(CrashQuery),
     /// Response to [`CrashQuery`].
     31 CrashState(CrashState),
-    /// Requests a permit to run a suspect request; a request.
+    /// Request for a permit to run a suspect request.
     32 PermitQuery(PermitQuery),
     /// Response to [`PermitQuery`].
     33 PermitState(PermitState),
-    /// Returns a permit; a request.
+    /// Request that returns a permit.
     34 PermitReturn(PermitReturn),
     /// Reports of servers that crashed while they ran requests.
     35 CrashReports(Vec<CrashReport>),
-    /// Exchanges the rate limits that servers state; a request.
+    /// Request that exchanges the rate limits that servers state.
     39 LimitQuery(LimitQuery),
     /// Response to [`LimitQuery`].
     40 LimitState(LimitState),
-    /// Requests a grant to send to a server that states a rate limit; a request.
+    /// Request for a grant to send to a server that states a rate limit.
     41 GrantQuery(GrantQuery),
     /// Response to [`GrantQuery`].
     42 GrantState(GrantState),
