--- a/crates/ctl/src/intent.rs
+++ b/crates/ctl/src/intent.rs
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the file can't be read, or one with all its problems.
+/// Returns an error when the file can't be read, or an error that lists all problems in it.
 pub(crate) fn load(path: &Path) -> Result<Intent> {
     let limits = Limits::default();
     let text = limits
