--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -18,16 +18,16 @@
 
 /// What came back.
 #[derive(Clone, Debug)]
-pub(crate) struct Answer {
+pub(crate) struct Response {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     /// What was read of the body.
     pub(crate) body: Vec<u8>,
     /// Whether the body ended as a whole one does.
-    pub(crate) is_whole: bool,
+    pub(crate) is_complete: bool,
 }
 
-impl Answer {
+impl Response {
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
@@ -35,23 +35,23 @@
 
 /// Why there is no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NoAnswer {
+pub(crate) enum NoResponse {
     /// No connection was made, so that nothing was sent.
     NotSent,
     /// The connection ended before an answer began.
     Closed,
     /// The caller's time was over.
-    Overdue,
+    TimedOut,
 }
 
 /// Connects to an instance.
-pub(crate) async fn connect(addr: SocketAddr) -> Result<Connection, NoAnswer> {
-    let connecting = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr));
-    let Ok(Ok(stream)) = connecting.await else {
-        return Err(NoAnswer::NotSent);
+pub(crate) async fn connect(addr: SocketAddr) -> Result<Connection, NoResponse> {
+    let tcp_connect = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr));
+    let Ok(Ok(stream)) = tcp_connect.await else {
+        return Err(NoResponse::NotSent);
     };
-    let made = http1::handshake(TokioIo::new(stream)).await;
-    let (sender, connection) = made.map_err(|_| NoAnswer::NotSent)?;
+    let handshake = http1::handshake(TokioIo::new(stream)).await;
+    let (sender, connection) = handshake.map_err(|_| NoResponse::NotSent)?;
     // How it ended is told by the exchange that it ended.
     tokio::spawn(connection);
     Ok(sender)
@@ -62,27 +62,27 @@
     connection: &mut Connection,
     request: Request<Full<Bytes>>,
     deadline: time::Instant,
-) -> Result<Answer, NoAnswer> {
-    let sent = time::timeout_at(deadline, connection.send_request(request)).await;
-    let response = match sent {
+) -> Result<Response, NoResponse> {
+    let sending = time::timeout_at(deadline, connection.send_request(request)).await;
+    let response = match sending {
         Ok(Ok(response)) => response,
-        Ok(Err(err)) if err.is_canceled() => return Err(NoAnswer::NotSent),
-        Ok(Err(_)) => return Err(NoAnswer::Closed),
-        Err(_) => return Err(NoAnswer::Overdue),
+        Ok(Err(err)) if err.is_canceled() => return Err(NoResponse::NotSent),
+        Ok(Err(_)) => return Err(NoResponse::Closed),
+        Err(_) => return Err(NoResponse::TimedOut),
     };
     let (parts, mut incoming) = response.into_parts();
     let mut body = Vec::new();
-    let is_whole = loop {
+    let is_complete = loop {
         match time::timeout_at(deadline, incoming.frame()).await {
             Ok(Some(Ok(frame))) => body.extend(frame.into_data().unwrap_or_default()),
             Ok(Some(Err(_))) | Err(_) => break false,
             Ok(None) => break true,
         }
     };
-    Ok(Answer {
+    Ok(Response {
         status: parts.status,
         headers: parts.headers,
         body,
-        is_whole,
+        is_complete,
     })
 }
--- a/crates/soak/src/config.rs
+++ b/crates/soak/src/config.rs
@@ -7,19 +7,19 @@
 /// Host of all routes.
 pub(crate) const HOST: &str = "soak.example";
 /// Key of the workspace.
-pub(crate) const KEY: &str = "key-of-one";
+pub(crate) const API_KEY: &str = "key-of-one";
 /// Name of the workspace, as servers see it.
 pub(crate) const WORKSPACE: &str = "one";
 /// Header in which servers say that they leave.
-pub(crate) const LEAVING: &str = "server-leaving";
+pub(crate) const LEAVING_HEADER: &str = "server-leaving";
 /// Time after which a request has its final answer, in ms.
 pub(crate) const TIMEOUT_MS: u64 = 2_000;
 /// Events of a whole stream.
-pub(crate) const EVENTS: u32 = 6;
+pub(crate) const EVENTS_PER_STREAM: u32 = 6;
 /// Repeats for each request of callers, and beyond that, that all instances
 /// together may send in ten seconds.
-pub(crate) const REPEAT_RATIO: f64 = 0.2;
-pub(crate) const REPEAT_SLACK: u32 = 20;
+pub(crate) const RETRY_RATIO: f64 = 0.2;
+pub(crate) const RETRY_SLACK: u32 = 20;
 
 /// Services and how many servers each has.
 pub(crate) const SERVICES: [(&str, usize); 4] =
@@ -27,16 +27,16 @@
 
 /// Returns the indices of a service's servers.
 pub(crate) fn servers_of(service: &str) -> Range<usize> {
-    let before = SERVICES.iter().take_while(|(name, _)| *name != service);
-    let start = before.map(|(_, count)| count).sum();
-    let own = SERVICES.iter().find(|(name, _)| *name == service);
-    start..start + own.map_or(0, |(_, count)| *count)
+    let preceding = SERVICES.iter().take_while(|(name, _)| *name != service);
+    let start = preceding.map(|(_, count)| count).sum();
+    let own_entry = SERVICES.iter().find(|(name, _)| *name == service);
+    start..start + own_entry.map_or(0, |(_, count)| *count)
 }
 
 /// Availability zone of the first instance, and of all servers that end under requests.
 pub(crate) const FIRST_ZONE: &str = "utrecht";
 /// Service whose servers end under some requests.
-pub(crate) const PRESS: &str = "press";
+pub(crate) const PRESS_SERVICE: &str = "press";
 /// Path of the requests that end them.
 pub(crate) const POISON_PATH: &str = "/print/poison";
 
@@ -99,14 +99,14 @@
 }
 
 /// Describes a configuration with the routes that were added by `added`.
-pub(crate) fn describe(version: u64, added: &[u64]) -> Value {
+pub(crate) fn config_json(version: u64, added: &[u64]) -> Value {
     let mut routes = vec![
         route(Kind::Lookup, "idempotent", "desk"),
         route(Kind::Booking, "mutating", "desk"),
         route(Kind::Draft, "stream", "engine"),
         route(Kind::Quote, "stream", "engine"),
         route(Kind::Staged, "stream", "engine"),
-        route(Kind::Print, "stream", PRESS),
+        route(Kind::Print, "stream", PRESS_SERVICE),
     ];
     routes[3]["Resumable"] = true.into();
     routes[4]["Stages"] = json!([
@@ -118,7 +118,7 @@
     let pieces = json!({ "Slots": 1, "Queue": 2, "Batch": 20, "CallMs": 10.0, "ItemMs": 1.0,
         "RoomMb": 20.0, "HandleS": 4.0, "LinkMbps": 1_000 });
     let names = SERVICES.map(|(name, _)| name);
-    let names = names.into_iter().chain([PRESS]);
+    let names = names.into_iter().chain([PRESS_SERVICE]);
     let services = names.map(|name| {
         let mut service = json!({ "Name": name, "HealthPath": "/healthz", "MaxConns": 200 });
         if matches!(name, "archive" | "invoices") {
@@ -129,16 +129,16 @@
     let services: Vec<Value> = services.collect();
     json!({
         "Version": version, "Routes": routes, "Services": services,
-        "Tenants": [{ "Name": WORKSPACE, "ApiKeys": [KEY] }],
+        "Tenants": [{ "Name": WORKSPACE, "ApiKeys": [API_KEY] }],
         "Limits": { "MaxHeaderBytes": 16_384, "MaxBodyBytes": 1_000_000,
             "HeaderTimeoutMs": 5_000, "IdleTimeoutMs": 10_000 },
     })
 }
 
-fn route(kind: Kind, repeats: &str, service: &str) -> Value {
+fn route(kind: Kind, route_kind: &str, service: &str) -> Value {
     json!({
         "Name": kind.prefix(), "Host": HOST, "PathPrefix": format!("/{}/", kind.prefix()),
-        "RouteKind": repeats, "TimeoutMs": TIMEOUT_MS, "GoalMs": 500, "Priority": 0,
+        "RouteKind": route_kind, "TimeoutMs": TIMEOUT_MS, "GoalMs": 500, "Priority": 0,
         "Service": service, "Attempts": 2, "Public": false, "Sticky": false, "Resumable": false,
     })
 }
--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    config::{self, EVENTS, FIRST_ZONE, REPEAT_RATIO, REPEAT_SLACK, SERVICES},
+    config::{self, EVENTS_PER_STREAM, FIRST_ZONE, RETRY_RATIO, RETRY_SLACK, SERVICES},
     disturbances::Disturbances,
     error::Result,
     ledger::Ledger,
@@ -28,7 +28,7 @@
 /// Availability zones that instances and servers stand in by turns.
 const ZONES: [&str; 3] = [FIRST_ZONE, "amersfoort", "gouda"];
 /// Instances that others are told of at their start.
-const SEEDS: usize = 3;
+const PEER_SEED_COUNT: usize = 3;
 
 /// A server, the proxy before it, and where it belongs.
 #[derive(Debug)]
@@ -38,30 +38,34 @@
     pub(crate) service: &'static str,
     zone: &'static str,
     /// Runs of it so far.
-    runs: AtomicU32,
+    run_count: AtomicU32,
 }
 
 impl Server {
     /// Returns what it does while nothing is wrong with it.
-    pub(crate) fn usual(&self) -> Behaviour {
+    pub(crate) fn default_behaviour(&self) -> Behaviour {
         match self.service {
-            "engine" => Behaviour::Streams(EVENTS),
+            "engine" => Behaviour::Streams(EVENTS_PER_STREAM),
             _ => Behaviour::Good,
         }
     }
 
     /// Names its current run.
-    pub(crate) fn id(&self) -> String {
-        format!("{}-{}", self.standin.id, self.runs.load(Ordering::Relaxed))
+    pub(crate) fn run_id(&self) -> String {
+        format!(
+            "{}-{}",
+            self.standin.id,
+            self.run_count.load(Ordering::Relaxed)
+        )
     }
 }
 
 /// What the operator has put in force.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Configured {
+pub(crate) struct AppliedConfig {
     version: u64,
     /// Versions that added a route, and when they were acknowledged.
-    pub(crate) added: Vec<(u64, Instant)>,
+    pub(crate) added_routes: Vec<(u64, Instant)>,
 }
 
 /// A deployment that is played.
@@ -71,13 +75,13 @@
     /// The way of each instance to the store.
     pub(crate) store_relays: Vec<Relay>,
     pub(crate) servers: Vec<Server>,
-    pub(crate) presses: RestartingServers,
+    pub(crate) press_servers: RestartingServers,
     pub(crate) addresses: Vec<Addresses>,
     pub(crate) ledger: Ledger,
     pub(crate) disturbances: Disturbances,
     instances: Vec<Mutex<Instance>>,
-    ready: Vec<AtomicBool>,
-    configured: Mutex<Configured>,
+    is_ready: Vec<AtomicBool>,
+    applied_config: Mutex<AppliedConfig>,
     /// Holds the addresses for as long as the instances may start again.
     _ports: Ports,
 }
@@ -90,44 +94,44 @@
         for (service, count) in SERVICES {
             for index in 0..count {
                 let standin = ServerStandIn::start(&format!("{service}-{index}")).await;
-                let relay = relay_to(standin.addr).await?;
+                let relay = start_relay(standin.addr).await?;
                 servers.push(Server {
                     standin,
                     relay,
                     service,
                     zone: ZONES[index % ZONES.len()],
-                    runs: AtomicU32::new(0),
+                    run_count: AtomicU32::new(0),
                 });
             }
         }
         let mut ports = Ports::claim()?;
-        let addresses = (0..instances).map(|_| ports.addresses());
+        let addresses = (0..instances).map(|_| ports.next_addresses());
         let addresses: Vec<Addresses> = addresses.collect::<Result<_>>()?;
         let mut store_relays = Vec::new();
         let mut processes = Vec::new();
         for (index, own) in addresses.iter().enumerate() {
-            let relay = relay_to(store.addr).await?;
+            let relay = start_relay(store.addr).await?;
             let name = format!("entry-{index}");
-            let settings = settings(&name, index, own, &relay, &addresses);
+            let settings = settings_yaml(&name, index, own, &relay, &addresses);
             let instance = Instance::new(program, folder, &name, &settings)?;
             processes.push(Mutex::new(instance));
             store_relays.push(relay);
         }
         let deployment = Self {
-            presses: presses::start(&store).await,
+            press_servers: presses::start(&store).await,
             store,
             store_relays,
             servers,
-            ready: addresses.iter().map(|_| AtomicBool::new(false)).collect(),
+            is_ready: addresses.iter().map(|_| AtomicBool::new(false)).collect(),
             addresses,
             ledger: Ledger::default(),
             disturbances: Disturbances::default(),
             instances: processes,
-            configured: Mutex::default(),
+            applied_config: Mutex::default(),
             _ports: ports,
         };
         for server in 0..deployment.servers.len() {
-            deployment.start_run(server);
+            deployment.start_server_run(server);
         }
         deployment.configure();
         for index in 0..instances {
@@ -142,24 +146,24 @@
     }
 
     /// Returns the number of an instance's last start.
-    pub(crate) fn boot(&self, index: usize) -> u32 {
-        self.instance(index).boots
+    pub(crate) fn start_number(&self, index: usize) -> u32 {
+        self.instance(index).start_count
     }
 
     pub(crate) fn set_ready(&self, index: usize, is_ready: bool) {
-        self.ready[index].store(is_ready, Ordering::Relaxed);
+        self.is_ready[index].store(is_ready, Ordering::Relaxed);
     }
 
-    pub(crate) fn ready(&self) -> Vec<usize> {
-        let instances = 0..self.ready.len();
+    pub(crate) fn ready_instances(&self) -> Vec<usize> {
+        let instances = 0..self.is_ready.len();
         instances
-            .filter(|index| self.ready[*index].load(Ordering::Relaxed))
+            .filter(|index| self.is_ready[*index].load(Ordering::Relaxed))
             .collect()
     }
 
     /// Draws one of the instances that take requests.
     pub(crate) fn draw_ready(&self, rng: &mut Pcg64Mcg) -> Option<usize> {
-        let ready = self.ready();
+        let ready = self.ready_instances();
         (!ready.is_empty()).then(|| ready[rng.random_range(0..ready.len())])
     }
 
@@ -173,31 +177,39 @@
 
     /// Draws the next version up without writing it.
     pub(crate) fn next_version(&self) -> (u64, serde_json::Value) {
-        let mut configured = self.configured();
-        configured.version += 3;
-        let version = configured.version;
-        configured.added.push((version, Instant::now()));
-        let added: Vec<u64> = configured.added.iter().map(|(added, _)| *added).collect();
-        (version, config::describe(version, &added))
+        let mut applied_config = self.applied_config();
+        applied_config.version += 3;
+        let version = applied_config.version;
+        applied_config.added_routes.push((version, Instant::now()));
+        let added: Vec<u64> = applied_config
+            .added_routes
+            .iter()
+            .map(|(added, _)| *added)
+            .collect();
+        (version, config::config_json(version, &added))
     }
 
-    pub(crate) fn configured(&self) -> MutexGuard<'_, Configured> {
-        let configured = self.configured.lock();
-        configured.unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn applied_config(&self) -> MutexGuard<'_, AppliedConfig> {
+        let applied_config = self.applied_config.lock();
+        applied_config.unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns the versions that added a route.
-    pub(crate) fn added(&self) -> Vec<u64> {
-        let configured = self.configured();
-        configured.added.iter().map(|(added, _)| *added).collect()
+    pub(crate) fn added_versions(&self) -> Vec<u64> {
+        let applied_config = self.applied_config();
+        applied_config
+            .added_routes
+            .iter()
+            .map(|(added, _)| *added)
+            .collect()
     }
 
     /// Starts a new run of a server, which registers itself.
-    pub(crate) fn start_run(&self, index: usize) {
+    pub(crate) fn start_server_run(&self, index: usize) {
         let server = &self.servers[index];
-        server.runs.fetch_add(1, Ordering::Relaxed);
-        server.standin.restart_as(&server.id());
-        server.standin.set(server.usual());
+        server.run_count.fetch_add(1, Ordering::Relaxed);
+        server.standin.restart_as(&server.run_id());
+        server.standin.set(server.default_behaviour());
         self.register(index, "ready");
     }
 
@@ -208,33 +220,39 @@
         let entry = server
             .standin
             .entry_at(addr, server.service, server.zone, state);
-        self.store.put("keyed.servers", &server.id(), &entry);
+        self.store.put("keyed.servers", &server.run_id(), &entry);
     }
 
     /// Takes the current run of a server out of the register.
     pub(crate) fn deregister(&self, index: usize) {
-        let id = self.servers[index].id();
+        let id = self.servers[index].run_id();
         self.store.put("keyed.servers", &id, "");
     }
 }
 
-async fn relay_to(to: std::net::SocketAddr) -> Result<Relay> {
-    let any = ([127, 0, 0, 1], 0).into();
+async fn start_relay(to: std::net::SocketAddr) -> Result<Relay> {
+    let loopback = ([127, 0, 0, 1], 0).into();
     let settings = RelaySettings {
-        addr: any,
+        addr: loopback,
         to,
-        control: any,
+        control: loopback,
     };
     Ok(Relay::start(settings).await?)
 }
 
-fn settings(name: &str, index: usize, own: &Addresses, store: &Relay, all: &[Addresses]) -> String {
-    let seeds = all.iter().take(SEEDS);
+fn settings_yaml(
+    name: &str,
+    index: usize,
+    own: &Addresses,
+    store: &Relay,
+    all: &[Addresses],
+) -> String {
+    let seeds = all.iter().take(PEER_SEED_COUNT);
     let seeds: Vec<String> = seeds.map(|other| format!("\"{}\"", other.peer)).collect();
     format!(
         "instance: {name}\nzone: {}\nregion: one\nlisten:\n  caller: {}\n  ready: {}\n  \
          peer: {}\n  admin: {}\nstore: {}\nseeds: [{}]\ncores: 0.25\nrepeats:\n  \
-         ratio: {REPEAT_RATIO}\n  slack: {REPEAT_SLACK}\n  instances: {}\nlog:\n  form: json\n  \
+         ratio: {RETRY_RATIO}\n  slack: {RETRY_SLACK}\n  instances: {}\nlog:\n  form: json\n  \
          level: info\ndrain:\n  grace_ms: 700\n  kill_after_s: 5.2\n",
         ZONES[index % ZONES.len()],
         own.caller,
--- a/crates/soak/src/disturbances.rs
+++ b/crates/soak/src/disturbances.rs
@@ -6,7 +6,7 @@
 
 /// What was disturbed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Disturbed {
+pub(crate) enum DisturbanceTarget {
     /// An instance, by its index.
     Instance(usize),
     /// The way from all instances to a server, by its index.
@@ -15,19 +15,24 @@
 
 /// All disturbances of one seed that have ended.
 #[derive(Debug, Default)]
-pub(crate) struct Disturbances(Mutex<Vec<(Disturbed, Instant, Instant)>>);
+pub(crate) struct Disturbances(Mutex<Vec<(DisturbanceTarget, Instant, Instant)>>);
 
 impl Disturbances {
     /// Notes a disturbance that began at `from` and ends now.
-    pub(crate) fn note(&self, disturbed: Disturbed, from: Instant) {
+    pub(crate) fn add(&self, disturbed: DisturbanceTarget, from: Instant) {
         let mut all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         all.push((disturbed, from, Instant::now()));
     }
 
     /// Tells whether `disturbed` was at any moment from `from` to `to`.
-    pub(crate) fn overlap(&self, disturbed: Disturbed, from: Instant, to: Instant) -> bool {
+    pub(crate) fn overlaps(
+        &self,
+        disturbed: DisturbanceTarget,
+        from: Instant,
+        to: Instant,
+    ) -> bool {
         let all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut all = all.iter().filter(|(other, ..)| *other == disturbed);
-        all.any(|(_, began, ended)| *began <= to && *ended >= from)
+        let mut all = all.iter().filter(|(recorded, ..)| *recorded == disturbed);
+        all.any(|(_, started_at, ended_at)| *started_at <= to && *ended_at >= from)
     }
 }
--- a/crates/soak/src/error.rs
+++ b/crates/soak/src/error.rs
@@ -17,16 +17,16 @@
             from()
         }
         /// No ports are left for instances.
-        Ports {
+        NoFreePorts {
             display("no ports are left for instances")
         }
         /// The instances did not become ready.
-        NotReady(what: String) {
-            display("not ready in time: {what}")
+        NotReady(message: String) {
+            display("not ready in time: {message}")
         }
         /// The command line asks for something that there is not.
-        Flag(what: String) {
-            display("{what}")
+        InvalidFlag(message: String) {
+            display("{message}")
         }
     }
 }
--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/ledger.rs
@@ -5,13 +5,13 @@
 use tokio::time::Instant;
 
 use crate::{
-    client::{Answer, NoAnswer},
+    client::{NoResponse, Response},
     config::Kind,
 };
 
 /// One request and what its caller got.
 #[derive(Clone, Debug)]
-pub(crate) struct Asked {
+pub(crate) struct RequestRecord {
     /// Its identifier.
     pub(crate) id: String,
     pub(crate) kind: Kind,
@@ -19,15 +19,18 @@
     pub(crate) body: String,
     /// Instance that was asked, and its start.
     pub(crate) instance: usize,
-    pub(crate) boot: u32,
+    pub(crate) start_number: u32,
     pub(crate) sent_at: Instant,
     pub(crate) ended_at: Instant,
-    pub(crate) got: Result<Answer, NoAnswer>,
+    pub(crate) outcome: Result<Response, NoResponse>,
 }
 
-impl Asked {
+impl RequestRecord {
     pub(crate) fn status(&self) -> Option<u16> {
-        self.got.as_ref().ok().map(|answer| answer.status.as_u16())
+        self.outcome
+            .as_ref()
+            .ok()
+            .map(|response| response.status.as_u16())
     }
 
     /// Tells whether the answer promises that the request has not run.
@@ -37,22 +40,22 @@
 
     /// Tells whether it was answered well and whole.
     pub(crate) fn is_served(&self) -> bool {
-        self.got
+        self.outcome
             .as_ref()
-            .is_ok_and(|answer| answer.status.is_success() && answer.is_whole)
+            .is_ok_and(|response| response.status.is_success() && response.is_complete)
     }
 }
 
 /// All requests of one seed.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Ledger(Arc<Mutex<Vec<Asked>>>);
+pub(crate) struct Ledger(Arc<Mutex<Vec<RequestRecord>>>);
 
 impl Ledger {
-    pub(crate) fn add(&self, asked: Asked) {
-        self.lock().push(asked);
+    pub(crate) fn add(&self, record: RequestRecord) {
+        self.lock().push(record);
     }
 
-    pub(crate) fn lock(&self) -> MutexGuard<'_, Vec<Asked>> {
+    pub(crate) fn lock(&self) -> MutexGuard<'_, Vec<RequestRecord>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -60,7 +63,7 @@
 /// How many requests ended in which way.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Counts {
-    pub(crate) asked: usize,
+    pub(crate) total: usize,
     pub(crate) served: usize,
     pub(crate) refused: usize,
     pub(crate) failed: usize,
@@ -68,16 +71,18 @@
 }
 
 impl Counts {
-    pub(crate) fn of(asked: &[Asked]) -> Self {
-        let count = |is_so: &dyn Fn(&Asked) -> bool| asked.iter().filter(|a| is_so(a)).count();
-        let served = count(&Asked::is_served);
-        let refused = count(&Asked::is_refused);
-        let unanswered = count(&|asked| asked.got.is_err());
+    pub(crate) fn of(records: &[RequestRecord]) -> Self {
+        let count = |matches: &dyn Fn(&RequestRecord) -> bool| {
+            records.iter().filter(|record| matches(record)).count()
+        };
+        let served = count(&RequestRecord::is_served);
+        let refused = count(&RequestRecord::is_refused);
+        let unanswered = count(&|record| record.outcome.is_err());
         Self {
-            asked: asked.len(),
+            total: records.len(),
             served,
             refused,
-            failed: asked.len() - served - refused - unanswered,
+            failed: records.len() - served - refused - unanswered,
             unanswered,
         }
     }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -29,7 +29,7 @@
         .enable_all()
         .build();
     let verdicts = match runtime {
-        Ok(runtime) => runtime.block_on(play(&flags)),
+        Ok(runtime) => runtime.block_on(run_seeds(&flags)),
         Err(err) => Err(err.into()),
     };
     match verdicts {
@@ -43,14 +43,14 @@
 }
 
 /// Plays the seeds one after the other, and returns how many broke a promise.
-async fn play(flags: &SavoryvaneSoak) -> Result<u64> {
+async fn run_seeds(flags: &SavoryvaneSoak) -> Result<u64> {
     let first = flags.first_seed.unwrap_or(1);
     let seeds = flags.seeds.unwrap_or(1);
     let options = run::Options::from_flags(flags)?;
     println!("  seed  faults  asked  served  refused  failed  unanswered  verdict");
     let mut broken = 0;
     for seed in first..first + seeds {
-        let verdict = run::play(&options, seed).await?;
+        let verdict = run::run_seed(&options, seed).await?;
         print(seed, &verdict);
         broken += u64::from(!verdict.violations.is_empty());
     }
@@ -60,15 +60,15 @@
 
 fn print(seed: u64, verdict: &Verdict) {
     let counts = &verdict.counts;
-    let word = if verdict.violations.is_empty() {
+    let status = if verdict.violations.is_empty() {
         "kept"
     } else {
         "BROKEN"
     };
     println!(
-        "{seed:6}  {:6}  {:5}  {:6}  {:7}  {:6}  {:10}  {word}",
+        "{seed:6}  {:6}  {:5}  {:6}  {:7}  {:6}  {:10}  {status}",
         verdict.faults,
-        counts.asked,
+        counts.total,
         counts.served,
         counts.refused,
         counts.failed,
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -6,9 +6,9 @@
 use rand_pcg::Pcg64Mcg;
 
 /// Mean time between two faults.
-const GAP_MS: u64 = 600;
+const MEAN_FAULT_GAP_MS: u64 = 600;
 /// Faults of one process in a series: some end before the one before has.
-const SERIES: std::ops::RangeInclusive<u32> = 1..=3;
+const SERIES_LENGTH: std::ops::RangeInclusive<u32> = 1..=3;
 
 /// One fault; those that last end by themselves.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -111,11 +111,11 @@
 const HARMS: [Harm; 4] = [Harm::Cut, Harm::Reset, Harm::Silence, Harm::Delay];
 
 /// Limits that servers name, in tenths of a request a second.
-const LIMITS: [u32; 4] = [0, 5, 10, 40];
+const LIMITS_TENTHS_PER_S: [u32; 4] = [0, 5, 10, 40];
 /// Mean time between two limits that servers name.
-const LIMIT_GAP_MS: u64 = 2_500;
+const MEAN_LIMIT_GAP_MS: u64 = 2_500;
 /// Mean time between two series of servers that leave or ask for backoff.
-const SIGNAL_GAP_MS: u64 = 3_000;
+const MEAN_SIGNAL_GAP_MS: u64 = 3_000;
 
 /// Draws the faults of `seed`, in their order, each with the time at which it
 /// begins. All end by themselves within a few seconds after `length`.
@@ -123,64 +123,64 @@
     seed: u64,
     instances: usize,
     servers: usize,
-    length: Duration,
+    duration: Duration,
 ) -> Vec<(Duration, Fault)> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut faults = Vec::new();
     let mut at_ms = 300;
-    while at_ms < length.as_millis() as u64 {
-        let count = rng.random_range(SERIES);
+    while at_ms < duration.as_millis() as u64 {
+        let count = rng.random_range(SERIES_LENGTH);
         let instance = rng.random_range(0..instances);
         let server = rng.random_range(0..servers);
         let kind = rng.random_range(0..17);
         for _ in 0..count {
-            let fault = draw_one(&mut rng, kind, instance, server);
+            let fault = draw_fault(&mut rng, kind, instance, server);
             faults.push((Duration::from_millis(at_ms), fault));
             at_ms += rng.random_range(20..500);
         }
-        at_ms += rng.random_range(0..2 * GAP_MS);
+        at_ms += rng.random_range(0..2 * MEAN_FAULT_GAP_MS);
     }
-    faults.extend(draw_limits(seed, servers, length));
-    faults.extend(draw_signals(seed, servers, length));
+    faults.extend(draw_limits(seed, servers, duration));
+    faults.extend(draw_signals(seed, servers, duration));
     faults.sort_by_key(|(at, _)| *at);
     faults
 }
 
 /// Draws the servers that name limits, of one series after the other: up to all of a
 /// service at the same time. Drawn apart, so that a seed keeps its other faults.
-fn draw_limits(seed: u64, servers: usize, length: Duration) -> Vec<(Duration, Fault)> {
+fn draw_limits(seed: u64, servers: usize, duration: Duration) -> Vec<(Duration, Fault)> {
     let mut rng = Pcg64Mcg::seed_from_u64(!seed);
     let mut limits = Vec::new();
-    let mut at_ms = rng.random_range(0..LIMIT_GAP_MS);
-    while at_ms < length.as_millis() as u64 {
+    let mut at_ms = rng.random_range(0..MEAN_LIMIT_GAP_MS);
+    while at_ms < duration.as_millis() as u64 {
         let first = rng.random_range(0..servers);
-        let tenths_per_s = LIMITS[rng.random_range(0..LIMITS.len())];
-        for next in 0..rng.random_range(SERIES) as usize {
+        let tenths_per_s = LIMITS_TENTHS_PER_S[rng.random_range(0..LIMITS_TENTHS_PER_S.len())];
+        for offset in 0..rng.random_range(SERIES_LENGTH) as usize {
             let fault = Fault::Limit {
-                server: (first + next) % servers,
+                server: (first + offset) % servers,
                 tenths_per_s,
                 lasts: Duration::from_millis(rng.random_range(500..4_000)),
             };
             limits.push((Duration::from_millis(at_ms), fault));
         }
-        at_ms += rng.random_range(0..2 * LIMIT_GAP_MS);
+        at_ms += rng.random_range(0..2 * MEAN_LIMIT_GAP_MS);
     }
     limits
 }
 
 /// Draws the servers that leave or ask for backoff in their answers, of one series after the
 /// other: up to all of a service at the same time. Drawn apart, as limits are.
-fn draw_signals(seed: u64, servers: usize, length: Duration) -> Vec<(Duration, Fault)> {
+fn draw_signals(seed: u64, servers: usize, duration: Duration) -> Vec<(Duration, Fault)> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed.rotate_left(32) ^ 1);
     let mut signals = Vec::new();
-    let mut at_ms = rng.random_range(0..SIGNAL_GAP_MS);
-    while at_ms < length.as_millis() as u64 {
+    let mut at_ms = rng.random_range(0..MEAN_SIGNAL_GAP_MS);
+    while at_ms < duration.as_millis() as u64 {
         let first = rng.random_range(0..servers);
-        let leaves = rng.random_range(0..2) == 0;
+        let is_leave = rng.random_range(0..2) == 0;
         let is_store_away = rng.random_range(0..2) == 0;
-        for next in 0..rng.random_range(SERIES) as usize {
-            let server = (first + next) % servers;
-            let fault = match leaves {
+        for offset in 0..rng.random_range(SERIES_LENGTH) as usize {
+            let server = (first + offset) % servers;
+            let fault = match is_leave {
                 true => Fault::Leave {
                     server,
                     is_store_away,
@@ -194,12 +194,12 @@
             };
             signals.push((Duration::from_millis(at_ms), fault));
         }
-        at_ms += rng.random_range(0..2 * SIGNAL_GAP_MS);
+        at_ms += rng.random_range(0..2 * MEAN_SIGNAL_GAP_MS);
     }
     signals
 }
 
-fn draw_one(rng: &mut Pcg64Mcg, kind: u32, instance: usize, server: usize) -> Fault {
+fn draw_fault(rng: &mut Pcg64Mcg, kind: u32, instance: usize, server: usize) -> Fault {
     let lasts = Duration::from_millis(rng.random_range(100..3_000));
     let harm = HARMS[rng.random_range(0..HARMS.len())];
     match kind {
--- a/crates/soak/src/presses.rs
+++ b/crates/soak/src/presses.rs
@@ -8,19 +8,19 @@
 use savoryvane_platform_standin::{Behaviour, RestartSettings, RestartingServers, StoreStandIn};
 use tokio::time::{self, Instant};
 
-use crate::config::{EVENTS, FIRST_ZONE, PRESS};
+use crate::config::{EVENTS_PER_STREAM, FIRST_ZONE, PRESS_SERVICE};
 
 /// Time between two crashes for other reasons, in ms.
 const CRASH_GAP_MS: std::ops::Range<u64> = 1_500..4_000;
 /// Most servers that crash together.
-const MOST_CRASHED: usize = 2;
+const MAX_CRASHED_TOGETHER: usize = 2;
 
 /// Starts the first ones.
 pub(crate) async fn start(store: &StoreStandIn) -> RestartingServers {
     let settings = RestartSettings {
-        service: PRESS,
+        service: PRESS_SERVICE,
         zone: FIRST_ZONE,
-        behaviour: Behaviour::Streams(EVENTS),
+        behaviour: Behaviour::Streams(EVENTS_PER_STREAM),
         count: 6,
         restarts_after: Duration::from_millis(700),
         lapses_after: Duration::from_millis(1_500),
@@ -29,15 +29,15 @@
 }
 
 /// Ends some with all that they run now and then, for `length`.
-pub(crate) async fn crash(servers: &RestartingServers, seed: u64, length: Duration) {
+pub(crate) async fn crash_at_random(servers: &RestartingServers, seed: u64, length: Duration) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let end = Instant::now() + length;
+    let ends_at = Instant::now() + length;
     loop {
-        let gap = Duration::from_millis(rng.random_range(CRASH_GAP_MS));
-        if Instant::now() + gap >= end {
+        let pause = Duration::from_millis(rng.random_range(CRASH_GAP_MS));
+        if Instant::now() + pause >= ends_at {
             return;
         }
-        time::sleep(gap).await;
-        servers.end_some(rng.random_range(1..=MOST_CRASHED));
+        time::sleep(pause).await;
+        servers.end_some(rng.random_range(1..=MAX_CRASHED_TOGETHER));
     }
 }
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -13,9 +13,9 @@
 use crate::error::Result;
 
 /// Time between two looks whether a process has ended.
-const LOOK: Duration = Duration::from_millis(20);
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time that a process has to stop after it was asked to, as the platform gives.
-pub(crate) const GRACE: Duration = Duration::from_secs(8);
+pub(crate) const STOP_GRACE: Duration = Duration::from_secs(8);
 
 /// Addresses of one instance, the same after each start.
 #[derive(Clone, Copy, Debug)]
@@ -34,7 +34,7 @@
     log: PathBuf,
     child: Option<Child>,
     /// Starts so far.
-    pub(crate) boots: u32,
+    pub(crate) start_count: u32,
 }
 
 impl Drop for Instance {
@@ -53,7 +53,7 @@
             settings: file,
             log: folder.join(format!("{name}.log")),
             child: None,
-            boots: 0,
+            start_count: 0,
         })
     }
 
@@ -72,17 +72,17 @@
             .stderr(log)
             .spawn()?;
         self.child = Some(child);
-        self.boots += 1;
+        self.start_count += 1;
         Ok(())
     }
 
     /// Starts the process again if it has ended by itself.
-    pub(crate) fn restart_if_ended(&mut self) -> Result<()> {
-        let has_ended = match &mut self.child {
+    pub(crate) fn restart_if_exited(&mut self) -> Result<()> {
+        let has_exited = match &mut self.child {
             Some(child) => child.try_wait()?.is_some(),
             None => false,
         };
-        if has_ended {
+        if has_exited {
             self.child = None;
             self.start()?;
         }
@@ -108,16 +108,16 @@
     }
 
     /// Takes the process out, to wait for its end.
-    pub(crate) fn take(&mut self) -> Option<Ending> {
-        self.child.take().map(Ending)
+    pub(crate) fn take_process(&mut self) -> Option<StoppingProcess> {
+        self.child.take().map(StoppingProcess)
     }
 }
 
 /// A process that was asked to stop; killed when dropped.
 #[derive(Debug)]
-pub(crate) struct Ending(Child);
+pub(crate) struct StoppingProcess(Child);
 
-impl Drop for Ending {
+impl Drop for StoppingProcess {
     fn drop(&mut self) {
         // It has ended already in most cases.
         let _ = self.0.kill();
@@ -125,15 +125,15 @@
     }
 }
 
-impl Ending {
+impl StoppingProcess {
     /// Waits for the end of the process, and kills it after the grace time.
     pub(crate) async fn wait(mut self) -> Result<()> {
-        let end = time::Instant::now() + GRACE;
-        while time::Instant::now() < end {
+        let deadline = time::Instant::now() + STOP_GRACE;
+        while time::Instant::now() < deadline {
             if self.0.try_wait()?.is_some() {
                 return Ok(());
             }
-            time::sleep(LOOK).await;
+            time::sleep(EXIT_POLL_INTERVAL).await;
         }
         Ok(())
     }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -24,31 +24,31 @@
     client::{self, Connection},
     config::{HOST, Kind, POISON_PATH, servers_of},
     deployment::Deployment,
-    disturbances::Disturbed,
+    disturbances::DisturbanceTarget,
     error::{Error, Result},
     flags::SavoryvaneSoak,
     ledger::Counts,
     plan::{self, Fault, Harm, Misdeed},
     presses,
-    promises::{self, Calm},
+    promises::{self, CalmPhase},
     sabotage::Sabotage,
-    signals::SETTLES_WITHIN,
+    signals::BACKOFF_REACTION_BOUND,
 };
 
 /// Time for the instances to become ready after their first start.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time after the last fault until everything has to be well again: what the
 /// platform gives for recovery is 12 s, what it calls calm begins after 3 s.
-const SETTLE: Duration = Duration::from_secs(5);
+const RECOVERY_TIME: Duration = Duration::from_secs(5);
 /// Time within which a version is in force and a server that leaves is left
 /// alone, by the platform's bounds of 2 s, and some more on a busy machine.
-const IN_FORCE: Duration = Duration::from_millis(2_400);
+const PROPAGATION_BOUND: Duration = Duration::from_millis(2_400);
 /// Time for which callers go on after the last planned step.
-const CLOSING: Duration = Duration::from_millis(1_500);
+const FINAL_TRAFFIC_TIME: Duration = Duration::from_millis(1_500);
 /// Time between two looks for processes that have ended by themselves.
 const SUPERVISE_INTERVAL: Duration = Duration::from_millis(300);
 /// Callers at the servers that end under some requests; two of them with the same one.
-const AT_THE_PRESSES: [Kind; 5] = [
+const PRESS_CALLERS: [Kind; 5] = [
     Kind::Print,
     Kind::Print,
     Kind::Print,
@@ -56,15 +56,15 @@
     Kind::Poison,
 ];
 /// Requests a second that an engine takes once all is calm.
-pub(crate) const CALM_LIMIT_PER_S: f64 = 1.0;
+pub(crate) const CALM_LIMIT_REQUESTS_PER_S: f64 = 1.0;
 /// Delay of harmed ways, in ms.
-const DELAY_MS: u64 = 120;
+const LINK_DELAY_MS: u64 = 120;
 
 /// How seeds are played.
 #[derive(Debug)]
 pub(crate) struct Options {
     program: PathBuf,
-    length: Duration,
+    fault_duration: Duration,
     instances: usize,
     callers: usize,
     logs: PathBuf,
@@ -82,7 +82,7 @@
         let sabotage = flags.sabotage.as_deref().map(Sabotage::parse).transpose()?;
         Ok(Self {
             program: program.unwrap_or_else(|| PathBuf::from("target/release/savoryvane")),
-            length: Duration::from_secs(flags.seconds.unwrap_or(10)),
+            fault_duration: Duration::from_secs(flags.seconds.unwrap_or(10)),
             instances: flags.instances.unwrap_or(5),
             callers: flags.callers.unwrap_or(16),
             logs: flags
@@ -109,7 +109,7 @@
 /// # Errors
 ///
 /// Fails when processes or stand-ins can't be started.
-pub(crate) async fn play(options: &Options, seed: u64) -> Result<Verdict> {
+pub(crate) async fn run_seed(options: &Options, seed: u64) -> Result<Verdict> {
     let folder = options.logs.join(format!("seed-{seed}"));
     if folder.exists() {
         std::fs::remove_dir_all(&folder)?;
@@ -117,40 +117,40 @@
     std::fs::create_dir_all(&folder)?;
     let deployment = Deployment::start(&options.program, &folder, options.instances).await?;
     let deployment = Arc::new(deployment);
-    let mut watching = JoinSet::new();
-    watching.spawn(caller::watch_ready(Arc::clone(&deployment)));
-    watching.spawn(supervise(Arc::clone(&deployment)));
-    until_ready(&deployment).await?;
+    let mut background_tasks = JoinSet::new();
+    background_tasks.spawn(caller::poll_readiness(Arc::clone(&deployment)));
+    background_tasks.spawn(supervise(Arc::clone(&deployment)));
+    wait_until_ready(&deployment).await?;
 
-    watching.spawn({
+    background_tasks.spawn({
         let deployment = Arc::clone(&deployment);
-        async move { deployment.presses.supervise(&deployment.store).await }
+        async move { deployment.press_servers.supervise(&deployment.store).await }
     });
     let callers = Callers::new(Arc::clone(&deployment), options.sabotage);
-    let mut asking = JoinSet::new();
-    for (index, kind) in AT_THE_PRESSES.into_iter().enumerate() {
+    let mut caller_tasks = JoinSet::new();
+    for (index, kind) in PRESS_CALLERS.into_iter().enumerate() {
         let seed = seed << 8 | 0x80 | index as u64;
-        asking.spawn(Arc::clone(&callers).come_again(kind, seed));
+        caller_tasks.spawn(Arc::clone(&callers).resend_until_stopped(kind, seed));
     }
-    watching.spawn({
-        let (deployment, length) = (Arc::clone(&deployment), options.length);
-        async move { presses::crash(&deployment.presses, seed, length).await }
+    background_tasks.spawn({
+        let (deployment, fault_duration) = (Arc::clone(&deployment), options.fault_duration);
+        async move { presses::crash_at_random(&deployment.press_servers, seed, fault_duration).await }
     });
     for index in 0..options.callers as u64 {
-        asking.spawn(Arc::clone(&callers).ask_on(seed << 8 | index));
+        caller_tasks.spawn(Arc::clone(&callers).send_until_stopped(seed << 8 | index));
     }
     let servers = deployment.servers.len();
-    let faults = plan::draw(seed, options.instances, servers, options.length);
+    let faults = plan::draw(seed, options.instances, servers, options.fault_duration);
     write_plan(&folder, &faults)?;
     inject(&callers, &faults).await?;
-    deployment.servers[limited(seed)]
+    deployment.servers[limited_engine(seed)]
         .standin
-        .set_limit(Some(CALM_LIMIT_PER_S));
-    time::sleep(SETTLE).await;
-    let calm = work_as_planned(&callers, options.sabotage, seed).await?;
-    time::sleep(CLOSING).await;
+        .set_limit(Some(CALM_LIMIT_REQUESTS_PER_S));
+    time::sleep(RECOVERY_TIME).await;
+    let calm = run_calm_phase(&callers, options.sabotage, seed).await?;
+    time::sleep(FINAL_TRAFFIC_TIME).await;
     callers.stop();
-    while asking.join_next().await.is_some() {}
+    while caller_tasks.join_next().await.is_some() {}
 
     let violations = promises::check(&deployment, &calm);
     let counts = Counts::of(&deployment.ledger.lock());
@@ -177,12 +177,14 @@
     Ok(())
 }
 
-async fn until_ready(deployment: &Deployment) -> Result<()> {
+async fn wait_until_ready(deployment: &Deployment) -> Result<()> {
     let end = Instant::now() + START_TIMEOUT;
-    while deployment.ready().len() < deployment.addresses.len() {
+    while deployment.ready_instances().len() < deployment.addresses.len() {
         if Instant::now() > end {
-            let ready = deployment.ready();
-            return Err(Error::NotReady(format!("only {ready:?} at the start")));
+            let ready_instances = deployment.ready_instances();
+            return Err(Error::NotReady(format!(
+                "only {ready_instances:?} at the start"
+            )));
         }
         time::sleep(Duration::from_millis(50)).await;
     }
@@ -195,7 +197,7 @@
         time::sleep(SUPERVISE_INTERVAL).await;
         for index in 0..deployment.addresses.len() {
             // One that can't be started now is tried again at the next look.
-            if let Err(err) = deployment.instance(index).restart_if_ended() {
+            if let Err(err) = deployment.instance(index).restart_if_exited() {
                 eprintln!("instance {index} not started: {err}");
             }
         }
@@ -204,29 +206,29 @@
 
 /// Lets every fault happen at its time, and waits until all have ended.
 async fn inject(callers: &Arc<Callers>, faults: &[(Duration, Fault)]) -> Result<()> {
-    let began = Instant::now();
-    let mut open = JoinSet::new();
+    let started_at = Instant::now();
+    let mut fault_tasks = JoinSet::new();
     for (at, fault) in faults {
-        time::sleep_until(began + *at).await;
+        time::sleep_until(started_at + *at).await;
         let (callers, fault) = (Arc::clone(callers), fault.clone());
-        open.spawn(async move { happen(&callers, fault).await });
+        fault_tasks.spawn(async move { apply_fault(&callers, fault).await });
     }
-    while let Some(ended) = open.join_next().await {
-        ended.map_err(std::io::Error::other)??;
+    while let Some(task_result) = fault_tasks.join_next().await {
+        task_result.map_err(std::io::Error::other)??;
     }
     Ok(())
 }
 
-async fn happen(callers: &Callers, fault: Fault) -> Result<()> {
+async fn apply_fault(callers: &Callers, fault: Fault) -> Result<()> {
     let deployment = callers.deployment.as_ref();
-    let began = Instant::now();
+    let started_at = Instant::now();
     match fault {
         Fault::Freeze { instance, lasts } => {
             deployment.instance(instance).signal("-STOP")?;
             time::sleep(lasts).await;
             deployment.instance(instance).signal("-CONT")?;
-            let frozen = Disturbed::Instance(instance);
-            deployment.disturbances.note(frozen, began);
+            let frozen = DisturbanceTarget::Instance(instance);
+            deployment.disturbances.add(frozen, started_at);
             Ok(())
         }
         Fault::Kill { instance, away } => {
@@ -252,7 +254,7 @@
             lasts,
         } => {
             let relay = &deployment.store_relays[instance];
-            relay.set_faults(faults_of(harm));
+            relay.set_faults(link_faults(harm));
             time::sleep(lasts).await;
             relay.set_faults(LinkFaults::default());
             Ok(())
@@ -263,11 +265,11 @@
             lasts,
         } => {
             let relay = &deployment.servers[server].relay;
-            relay.set_faults(faults_of(harm));
+            relay.set_faults(link_faults(harm));
             time::sleep(lasts).await;
             relay.set_faults(LinkFaults::default());
-            let harmed = Disturbed::ServerLink(server);
-            deployment.disturbances.note(harmed, began);
+            let harmed = DisturbanceTarget::ServerLink(server);
+            deployment.disturbances.add(harmed, started_at);
             Ok(())
         }
         Fault::Store { is_silent, lasts } => {
@@ -294,14 +296,14 @@
             let server = &deployment.servers[server];
             server.standin.set(behaviour(misdeed, server.service));
             time::sleep(lasts).await;
-            server.standin.set(server.usual());
+            server.standin.set(server.default_behaviour());
             Ok(())
         }
         Fault::Replace { server, away } => {
             deployment.register(server, "draining");
             time::sleep(away).await;
             deployment.deregister(server);
-            deployment.start_run(server);
+            deployment.start_server_run(server);
             Ok(())
         }
         Fault::Limit {
@@ -329,7 +331,7 @@
                 deployment.store.set_fault(StoreFault::None);
             }
             deployment.deregister(server);
-            deployment.start_run(server);
+            deployment.start_server_run(server);
             Ok(())
         }
         Fault::Backoff {
@@ -337,15 +339,15 @@
             backoff,
             lasts,
         } => {
-            let ends = Instant::now() + lasts;
+            let ends_at = Instant::now() + lasts;
             let server = &deployment.servers[server];
             let retry_after_s = backoff.as_secs_f64().to_string();
             server.standin.ask_for_backoff(&retry_after_s);
             if callers.sabotage == Some(Sabotage::OverBackoff) {
-                press_on(deployment, server.standin.addr).await;
+                send_during_backoff(deployment, server.standin.addr).await;
             }
-            time::sleep_until(ends).await;
-            server.standin.set(server.usual());
+            time::sleep_until(ends_at).await;
+            server.standin.set(server.default_behaviour());
             Ok(())
         }
         Fault::Configure => {
@@ -356,13 +358,13 @@
 }
 
 /// Sends a server the request of a caller again after it has asked for backoff.
-async fn press_on(deployment: &Deployment, addr: SocketAddr) {
-    let last = deployment
+async fn send_during_backoff(deployment: &Deployment, addr: SocketAddr) {
+    let last_id = deployment
         .ledger
         .lock()
         .last()
-        .map(|asked| asked.id.clone());
-    let Some(id) = last else {
+        .map(|record| record.id.clone());
+    let Some(id) = last_id else {
         return;
     };
     for number in 0..5 {
@@ -371,7 +373,7 @@
             send_directly(&mut connection, request, &id, "").await;
         }
         if number == 0 {
-            time::sleep(SETTLES_WITHIN).await;
+            time::sleep(BACKOFF_REACTION_BOUND).await;
         }
     }
 }
@@ -379,15 +381,15 @@
 /// Asks a process to stop, waits until it has, and starts it again.
 async fn terminate(deployment: &Deployment, instance: usize) -> Result<()> {
     deployment.instance(instance).signal("-TERM")?;
-    let Some(ending) = deployment.instance(instance).take() else {
+    let Some(stopping) = deployment.instance(instance).take_process() else {
         // It is away already, and whoever ended it starts it again.
         return Ok(());
     };
-    ending.wait().await?;
+    stopping.wait().await?;
     deployment.instance(instance).start()
 }
 
-fn faults_of(harm: Harm) -> LinkFaults {
+fn link_faults(harm: Harm) -> LinkFaults {
     match harm {
         Harm::Cut => LinkFaults {
             cut: true,
@@ -402,14 +404,14 @@
             ..LinkFaults::default()
         },
         Harm::Delay => LinkFaults {
-            delay_ms: DELAY_MS,
+            delay_ms: LINK_DELAY_MS,
             ..LinkFaults::default()
         },
     }
 }
 
 fn behaviour(misdeed: Misdeed, service: &str) -> Behaviour {
-    let streams = service == "engine";
+    let is_stream_service = service == "engine";
     match misdeed {
         Misdeed::Fails => Behaviour::Failing,
         Misdeed::IsFull => Behaviour::Full,
@@ -417,8 +419,8 @@
         Misdeed::IsSilent => Behaviour::Silent,
         Misdeed::AnswersAnother => Behaviour::AnswersAnother,
         Misdeed::Unsigned => Behaviour::Unsigned,
-        Misdeed::BreaksStreams if streams => Behaviour::StreamsThenBreaks(3),
-        Misdeed::SilencesStreams if streams => Behaviour::StreamsThenSilent(3),
+        Misdeed::BreaksStreams if is_stream_service => Behaviour::StreamsThenBreaks(3),
+        Misdeed::SilencesStreams if is_stream_service => Behaviour::StreamsThenSilent(3),
         Misdeed::BreaksOff | Misdeed::BreaksStreams | Misdeed::SilencesStreams => {
             Behaviour::BreaksOff
         }
@@ -426,77 +428,81 @@
 }
 
 /// Returns the engine that names a limit once all is calm.
-fn limited(seed: u64) -> usize {
+fn limited_engine(seed: u64) -> usize {
     let engines = servers_of("engine");
     engines.start + seed as usize % engines.len()
 }
 
 /// Does what operators do on a calm day: a version, a server that leaves, a stop
 /// of an instance.
-async fn work_as_planned(callers: &Callers, sabotage: Option<Sabotage>, seed: u64) -> Result<Calm> {
+async fn run_calm_phase(
+    callers: &Callers,
+    sabotage: Option<Sabotage>,
+    seed: u64,
+) -> Result<CalmPhase> {
     let deployment = &callers.deployment;
     if sabotage == Some(Sabotage::NotBack) {
         deployment.instance(0).kill()?;
         time::sleep(Duration::from_secs(1)).await;
     }
-    let began_at = Instant::now();
-    let ready = deployment.ready();
+    let started_at = Instant::now();
+    let ready_instances = deployment.ready_instances();
     let version = match sabotage {
         Some(Sabotage::LateConfig) => deployment.next_version().0,
         _ => deployment.configure(),
     };
-    let leaving = (seed % 3) as usize;
-    deployment.register(leaving, "draining");
-    let left_alone_from = Instant::now() + IN_FORCE;
-    time::sleep(IN_FORCE).await;
-    let mut behind = Vec::new();
+    let leaving_server = (seed % 3) as usize;
+    deployment.register(leaving_server, "draining");
+    let drained_from = Instant::now() + PROPAGATION_BOUND;
+    time::sleep(PROPAGATION_BOUND).await;
+    let mut stale_instances = Vec::new();
     for instance in 0..deployment.addresses.len() {
-        let asked = callers
-            .ask(instance, Kind::Added(version), &mut HashMap::new())
+        let record = callers
+            .send_recorded(instance, Kind::Added(version), &mut HashMap::new())
             .await;
-        if !asked.is_served() {
-            behind.push((instance, asked.status()));
+        if !record.is_served() {
+            stale_instances.push((instance, record.status()));
         }
-        deployment.ledger.add(asked);
+        deployment.ledger.add(record);
     }
-    harm_servers(deployment, sabotage, leaving, limited(seed)).await;
-    let stopped = (seed % deployment.addresses.len() as u64) as usize;
+    sabotage_servers(deployment, sabotage, leaving_server, limited_engine(seed)).await;
+    let stopped_instance = (seed % deployment.addresses.len() as u64) as usize;
     let stopped_at = Instant::now();
     match sabotage {
         Some(Sabotage::CutOnStop) => {
-            deployment.instance(stopped).kill()?;
-            deployment.instance(stopped).start()?;
+            deployment.instance(stopped_instance).kill()?;
+            deployment.instance(stopped_instance).start()?;
         }
-        _ => terminate(deployment, stopped).await?,
+        _ => terminate(deployment, stopped_instance).await?,
     }
-    Ok(Calm {
-        began_at,
-        ready,
+    Ok(CalmPhase {
+        started_at,
+        ready_instances,
         version,
-        behind,
-        leaving,
-        left_alone_from,
-        limited: limited(seed),
-        stopped,
+        stale_instances,
+        leaving_server,
+        drained_from,
+        limited_server: limited_engine(seed),
+        stopped_instance,
         stopped_at,
-        stop_ended_at: Instant::now(),
+        stop_completed_at: Instant::now(),
     })
 }
 
 /// Sends servers what no instance may send them.
-async fn harm_servers(
+async fn sabotage_servers(
     deployment: &Deployment,
     sabotage: Option<Sabotage>,
-    leaving: usize,
-    limited: usize,
+    leaving_server: usize,
+    limited_server: usize,
 ) {
     if sabotage == Some(Sabotage::Uncounted) {
-        return end_presses(deployment).await;
+        return crash_press_servers(deployment).await;
     }
     let (server, id, times) = match sabotage {
         Some(Sabotage::Unasked) => (0, "nobody", 1),
-        Some(Sabotage::LateDrain) => (leaving, "r1", 3),
-        Some(Sabotage::OverLimit) => (limited, "r1", 20),
+        Some(Sabotage::LateDrain) => (leaving_server, "r1", 3),
+        Some(Sabotage::OverLimit) => (limited_server, "r1", 20),
         Some(Sabotage::Overspent) => (1, "r1", 800),
         _ => return,
     };
@@ -511,9 +517,9 @@
 }
 
 /// Ends servers by requests that no instance has counted.
-async fn end_presses(deployment: &Deployment) {
+async fn crash_press_servers(deployment: &Deployment) {
     for _ in 0..6 {
-        let Some(addr) = deployment.presses.running() else {
+        let Some(addr) = deployment.press_servers.running() else {
             return;
         };
         if let Ok(mut connection) = client::connect(addr).await {
--- a/crates/soak/src/sabotage.rs
+++ b/crates/soak/src/sabotage.rs
@@ -61,7 +61,7 @@
             "unseen-leaving" => Self::UnseenLeaving,
             "over-backoff" => Self::OverBackoff,
             "not-back" => Self::NotBack,
-            other => return Err(Error::Flag(format!("no such sabotage: {other}"))),
+            other => return Err(Error::InvalidFlag(format!("no such sabotage: {other}"))),
         })
     }
 }
--- a/crates/soak/src/signals.rs
+++ b/crates/soak/src/signals.rs
@@ -7,50 +7,50 @@
 use tokio::time::Instant;
 
 use crate::{
-    config::LEAVING, deployment::Deployment, disturbances::Disturbed, ledger::Asked,
-    promises::id_of,
+    config::LEAVING_HEADER, deployment::Deployment, disturbances::DisturbanceTarget,
+    ledger::RequestRecord, promises::id_of,
 };
 
 /// Time from an answer in which a server says that it leaves until it gets no requests that
 /// are sent later, by the platform's bound.
-const DRAINS_WITHIN: Duration = Duration::from_secs(2);
+const DRAIN_BOUND: Duration = Duration::from_secs(2);
 /// Time from a request for backoff until it has to be kept, by the platform's bound.
-pub(crate) const SETTLES_WITHIN: Duration = Duration::from_millis(500);
+pub(crate) const BACKOFF_REACTION_BOUND: Duration = Duration::from_millis(500);
 /// Requests that may reach a server within a backoff, by the platform's bound.
-const MAX_IN_BACKOFF: usize = 2;
+const MAX_REQUESTS_IN_BACKOFF: usize = 2;
 
 /// One run of one instance.
-type Boot = (usize, u32);
+type InstanceRun = (usize, u32);
 
 /// Checks what callers asked against what came to servers.
 pub(crate) struct SignalCheck<'a> {
     pub(crate) deployment: &'a Deployment,
-    pub(crate) asked: &'a [Asked],
-    pub(crate) by_id: &'a HashMap<&'a str, &'a Asked>,
+    pub(crate) records: &'a [RequestRecord],
+    pub(crate) by_id: &'a HashMap<&'a str, &'a RequestRecord>,
 }
 
 impl SignalCheck<'_> {
     /// A server that has said so to an instance gets no requests that come later from it.
-    pub(crate) fn leaving_is_kept(&self, broken: &mut Vec<String>) {
-        let announced = self.announced();
+    pub(crate) fn leaving_is_respected(&self, violations: &mut Vec<String>) {
+        let leaving_known_at = self.leaving_known_at();
         for server in &self.deployment.servers {
             for seen in server.standin.arrived() {
-                let Some(asked) = self.by_id.get(id_of(&seen)) else {
+                let Some(record) = self.by_id.get(id_of(&seen)) else {
                     continue;
                 };
-                let run = seen.header("expect-instance").unwrap_or_default();
-                let boot = (asked.instance, asked.boot);
-                let since = announced.get(&(run, boot)).copied();
+                let server_id = seen.header("expect-instance").unwrap_or_default();
+                let instance_run = (record.instance, record.start_number);
+                let since = leaving_known_at.get(&(server_id, instance_run)).copied();
                 let is_late = since.is_some_and(|since| {
-                    let frozen = Disturbed::Instance(asked.instance);
+                    let target = DisturbanceTarget::Instance(record.instance);
                     let disturbances = &self.deployment.disturbances;
-                    asked.sent_at > since + DRAINS_WITHIN
-                        && !disturbances.overlap(frozen, since, seen.at)
+                    record.sent_at > since + DRAIN_BOUND
+                        && !disturbances.overlaps(target, since, seen.at)
                 });
                 if is_late {
-                    let (id, instance) = (&asked.id, asked.instance);
-                    broken.push(format!(
-                        "{run} got {id} of instance {instance} after it had said that it leaves"
+                    let (id, instance) = (&record.id, record.instance);
+                    violations.push(format!(
+                        "{server_id} got {id} of instance {instance} after it had said that it leaves"
                     ));
                 }
             }
@@ -58,45 +58,49 @@
     }
 
     /// Returns when each run of an instance had passed on that a server leaves.
-    fn announced(&self) -> HashMap<(&str, Boot), Instant> {
-        let mut announced: HashMap<(&str, Boot), Instant> = HashMap::new();
-        for asked in self.asked {
-            let Ok(answer) = &asked.got else {
+    fn leaving_known_at(&self) -> HashMap<(&str, InstanceRun), Instant> {
+        let mut leaving_known_at: HashMap<(&str, InstanceRun), Instant> = HashMap::new();
+        for record in self.records {
+            let Ok(response) = &record.outcome else {
                 continue;
             };
-            let seal = answer.header("server-seal").unwrap_or_default();
-            let Some(run) = seal.strip_prefix("seal.") else {
+            let signature = response.header("server-seal").unwrap_or_default();
+            let Some(server_id) = signature.strip_prefix("seal.") else {
                 continue;
             };
-            if answer.header(LEAVING) == Some("1") {
-                let key = (run, (asked.instance, asked.boot));
-                let first = announced.entry(key).or_insert(asked.ended_at);
-                *first = (*first).min(asked.ended_at);
+            if response.header(LEAVING_HEADER) == Some("1") {
+                let key = (server_id, (record.instance, record.start_number));
+                let first = leaving_known_at.entry(key).or_insert(record.ended_at);
+                *first = (*first).min(record.ended_at);
             }
         }
-        announced
+        leaving_known_at
     }
 
     /// A server that has asked an instance for backoff gets hardly anything from it meanwhile.
-    pub(crate) fn backoff_is_kept(&self, broken: &mut Vec<String>) {
+    pub(crate) fn backoff_is_respected(&self, violations: &mut Vec<String>) {
         for (index, server) in self.deployment.servers.iter().enumerate() {
             let arrived = server.standin.arrived();
             for first in &arrived {
-                let Some((boot, until)) = self.backoff(first) else {
+                let Some((instance_run, until)) = self.backoff(first) else {
                     continue;
                 };
                 let disturbances = &self.deployment.disturbances;
-                let is_excused = [Disturbed::Instance(boot.0), Disturbed::ServerLink(index)]
-                    .into_iter()
-                    .any(|disturbed| disturbances.overlap(disturbed, first.at, until));
-                let from = first.at + SETTLES_WITHIN;
-                let within = arrived.iter().filter(|seen| {
-                    (from..until).contains(&seen.at) && self.boot_of(seen) == Some(boot)
+                let is_disturbed = [
+                    DisturbanceTarget::Instance(instance_run.0),
+                    DisturbanceTarget::ServerLink(index),
+                ]
+                .into_iter()
+                .any(|target| disturbances.overlaps(target, first.at, until));
+                let from = first.at + BACKOFF_REACTION_BOUND;
+                let in_backoff = arrived.iter().filter(|seen| {
+                    (from..until).contains(&seen.at)
+                        && self.instance_run_of(seen) == Some(instance_run)
                 });
-                let count = within.count();
-                if count > MAX_IN_BACKOFF && !is_excused {
-                    let (id, instance) = (server.id(), boot.0);
-                    broken.push(format!(
+                let count = in_backoff.count();
+                if count > MAX_REQUESTS_IN_BACKOFF && !is_disturbed {
+                    let (id, instance) = (server.run_id(), instance_run.0);
+                    violations.push(format!(
                         "{id} got {count} of instance {instance} within the backoff that it \
                          asked for"
                     ));
@@ -107,16 +111,16 @@
     }
 
     /// Returns the instance that a rejected request asks for backoff, and until when.
-    fn backoff(&self, seen: &Seen) -> Option<(Boot, Instant)> {
+    fn backoff(&self, seen: &Seen) -> Option<(InstanceRun, Instant)> {
         let backoff_s: f64 = seen.retry_after.as_ref()?.parse().ok()?;
         let until = seen.at + Duration::from_secs_f64(backoff_s);
-        Some((self.boot_of(seen)?, until))
+        Some((self.instance_run_of(seen)?, until))
     }
 
     /// Returns the run of the instance that sent a request; none for calls with pieces, which
     /// another instance may have made.
-    fn boot_of(&self, seen: &Seen) -> Option<Boot> {
-        let asked = self.by_id.get(id_of(seen))?;
-        Some((asked.instance, asked.boot))
+    fn instance_run_of(&self, seen: &Seen) -> Option<InstanceRun> {
+        let record = self.by_id.get(id_of(seen))?;
+        Some((record.instance, record.start_number))
     }
 }
