--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,5 +1,5 @@
-//! A caller's side of HTTP/1.1: connections that are kept, and answers that may
-//! break off.
+//! HTTP/1.1 client of the callers, with persistent connections and responses that may be
+//! truncated.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,20 +10,20 @@
 use hyper_util::rt::TokioIo;
 use tokio::{net::TcpStream, time};
 
-/// Time for a connection to be made.
+/// Timeout of establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A connection to one instance.
 pub(crate) type Connection = SendRequest<Full<Bytes>>;
 
-/// What came back.
+/// A received response.
 #[derive(Clone, Debug)]
 pub(crate) struct Response {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
-    /// What was read of the body.
+    /// The part of the body that was received.
     pub(crate) body: Vec<u8>,
-    /// Whether the body ended as a whole one does.
+    /// Whether the body was received up to its regular end.
     pub(crate) is_complete: bool,
 }
 
@@ -33,14 +33,14 @@
     }
 }
 
-/// Why there is no answer.
+/// Reason why no response was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NoResponse {
-    /// No connection was made, so that nothing was sent.
+    /// The request was not sent, because there was no usable connection.
     NotSent,
-    /// The connection ended before an answer began.
+    /// The connection closed before the response started.
     Closed,
-    /// The caller's time was over.
+    /// The caller's deadline passed.
     TimedOut,
 }
 
@@ -52,12 +52,12 @@
     };
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (sender, connection) = handshake.map_err(|_| NoResponse::NotSent)?;
-    // How it ended is told by the exchange that it ended.
+    // A connection error is reported by the exchange that it interrupts.
     tokio::spawn(connection);
     Ok(sender)
 }
 
-/// Sends a request and reads its answer until `deadline`.
+/// Sends a request and reads its response until `deadline`.
 pub(crate) async fn exchange(
     connection: &mut Connection,
     request: Request<Full<Bytes>>,
--- a/crates/soak/src/config.rs
+++ b/crates/soak/src/config.rs
@@ -1,4 +1,4 @@
-//! What the operator of a soak configures.
+//! The configuration that the soak publishes as operator, and the kinds of requests.
 
 use std::ops::Range;
 
@@ -6,26 +6,26 @@
 
 /// Host of all routes.
 pub(crate) const HOST: &str = "soak.example";
-/// Key of the workspace.
+/// API key of the workspace.
 pub(crate) const API_KEY: &str = "key-of-one";
-/// Name of the workspace, as servers see it.
+/// Name of the workspace, as sent to servers.
 pub(crate) const WORKSPACE: &str = "one";
-/// Header in which servers say that they leave.
+/// Response header in which servers announce that they leave.
 pub(crate) const LEAVING_HEADER: &str = "server-leaving";
-/// Time after which a request has its final answer, in ms.
+/// Timeout of all routes.
 pub(crate) const TIMEOUT_MS: u64 = 2_000;
-/// Events of a whole stream.
+/// Number of events of a complete stream.
 pub(crate) const EVENTS_PER_STREAM: u32 = 6;
-/// Repeats for each request of callers, and beyond that, that all instances
-/// together may send in ten seconds.
+/// Retry budget of all instances together in ten seconds: retries for each request of callers,
+/// and retries in addition to that.
 pub(crate) const RETRY_RATIO: f64 = 0.2;
 pub(crate) const RETRY_SLACK: u32 = 20;
 
-/// Services and how many servers each has.
+/// Services and their numbers of servers.
 pub(crate) const SERVICES: [(&str, usize); 4] =
     [("desk", 3), ("engine", 3), ("archive", 2), ("invoices", 2)];
 
-/// Returns the indices of a service's servers.
+/// Returns the server indices of a service.
 pub(crate) fn servers_of(service: &str) -> Range<usize> {
     let preceding = SERVICES.iter().take_while(|(name, _)| *name != service);
     let start = preceding.map(|(_, count)| count).sum();
@@ -33,31 +33,31 @@
     start..start + own_entry.map_or(0, |(_, count)| *count)
 }
 
-/// Availability zone of the first instance, and of all servers that end under requests.
+/// Availability zone of the first instance and of all press servers.
 pub(crate) const FIRST_ZONE: &str = "utrecht";
-/// Service whose servers end under some requests.
+/// Service whose servers crash under poison requests.
 pub(crate) const PRESS_SERVICE: &str = "press";
-/// Path of the requests that end them.
+/// Path of poison requests, which crash the server that runs them.
 pub(crate) const POISON_PATH: &str = "/print/poison";
 
 /// A kind of request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Kind {
-    /// May run again.
+    /// A request that may be retried.
     Lookup,
-    /// Runs at most once.
+    /// A request that runs at most once.
     Booking,
     /// A stream that runs at most once.
     Draft,
-    /// A stream that may go on elsewhere.
+    /// A stream that may be resumed on another server.
     Quote,
-    /// A stream that comes after two stages.
+    /// A stream that runs after two stages.
     Staged,
     /// A stream at a service whose servers crash.
     Print,
-    /// The same, which ends each server that begins to run it.
+    /// A poison request to that service: crashes each server that starts to run it.
     Poison,
-    /// On a route that this version added.
+    /// A request to the route that this configuration version added.
     Added(u64),
 }
 
@@ -98,7 +98,7 @@
     }
 }
 
-/// Describes a configuration with the routes that were added by `added`.
+/// Returns the configuration with the fixed routes and one route for each version in `added`.
 pub(crate) fn config_json(version: u64, added: &[u64]) -> Value {
     let mut routes = vec![
         route(Kind::Lookup, "idempotent", "desk"),
--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -1,5 +1,4 @@
-//! One deployment: stand-ins of the platform, proxies before them, and instances
-//! as processes.
+//! One deployment: platform stand-ins, relays in front of them, and instances as processes.
 
 use std::{
     path::Path,
@@ -25,24 +24,24 @@
     process::{Addresses, Instance},
 };
 
-/// Availability zones that instances and servers stand in by turns.
+/// Availability zones, assigned to instances and servers in rotation.
 const ZONES: [&str; 3] = [FIRST_ZONE, "amersfoort", "gouda"];
-/// Instances that others are told of at their start.
+/// Number of instances that are configured as seeds for joining the group.
 const PEER_SEED_COUNT: usize = 3;
 
-/// A server, the proxy before it, and where it belongs.
+/// A server, its relay, service and availability zone.
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) standin: ServerStandIn,
     pub(crate) relay: Relay,
     pub(crate) service: &'static str,
     zone: &'static str,
-    /// Runs of it so far.
+    /// Number of runs of the server so far.
     run_count: AtomicU32,
 }
 
 impl Server {
-    /// Returns what it does while nothing is wrong with it.
+    /// Returns the behaviour of the server while it has no fault.
     pub(crate) fn default_behaviour(&self) -> Behaviour {
         match self.service {
             "engine" => Behaviour::Streams(EVENTS_PER_STREAM),
@@ -50,7 +49,7 @@
         }
     }
 
-    /// Names its current run.
+    /// Returns the ID of the current run.
     pub(crate) fn run_id(&self) -> String {
         format!(
             "{}-{}",
@@ -60,19 +59,19 @@
     }
 }
 
-/// What the operator has put in force.
+/// The configuration that the operator has published.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AppliedConfig {
     version: u64,
-    /// Versions that added a route, and when they were acknowledged.
+    /// Versions that added a route, with the times at which they were created.
     pub(crate) added_routes: Vec<(u64, Instant)>,
 }
 
-/// A deployment that is played.
+/// A running deployment.
 #[derive(Debug)]
 pub(crate) struct Deployment {
     pub(crate) store: StoreStandIn,
-    /// The way of each instance to the store.
+    /// Relays between the instances and the store, by instance.
     pub(crate) store_relays: Vec<Relay>,
     pub(crate) servers: Vec<Server>,
     pub(crate) press_servers: RestartingServers,
@@ -82,12 +81,12 @@
     instances: Vec<Mutex<Instance>>,
     is_ready: Vec<AtomicBool>,
     applied_config: Mutex<AppliedConfig>,
-    /// Holds the addresses for as long as the instances may start again.
+    /// Reserves the addresses for as long as instances may restart.
     _ports: Ports,
 }
 
 impl Deployment {
-    /// Starts everything; the instances are not ready yet.
+    /// Starts all parts of the deployment, without waiting for the instances to become ready.
     pub(crate) async fn start(program: &Path, folder: &Path, instances: usize) -> Result<Self> {
         let store = StoreStandIn::start().await;
         let mut servers = Vec::new();
@@ -145,7 +144,7 @@
         instance.unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the number of an instance's last start.
+    /// Returns the number of times that an instance was started.
     pub(crate) fn start_number(&self, index: usize) -> u32 {
         self.instance(index).start_count
     }
@@ -161,13 +160,13 @@
             .collect()
     }
 
-    /// Draws one of the instances that take requests.
+    /// Draws one of the ready instances.
     pub(crate) fn draw_ready(&self, rng: &mut Pcg64Mcg) -> Option<usize> {
         let ready = self.ready_instances();
         (!ready.is_empty()).then(|| ready[rng.random_range(0..ready.len())])
     }
 
-    /// Puts the next version in force, which adds a route; returns it.
+    /// Publishes the next configuration version, which adds a route, and returns the version.
     pub(crate) fn configure(&self) -> u64 {
         let (version, config) = self.next_version();
         let text = config.to_string();
@@ -175,7 +174,7 @@
         version
     }
 
-    /// Draws the next version up without writing it.
+    /// Creates the next configuration version without writing it to the store.
     pub(crate) fn next_version(&self) -> (u64, serde_json::Value) {
         let mut applied_config = self.applied_config();
         applied_config.version += 3;
@@ -204,7 +203,7 @@
             .collect()
     }
 
-    /// Starts a new run of a server, which registers itself.
+    /// Starts a new run of a server and registers it.
     pub(crate) fn start_server_run(&self, index: usize) {
         let server = &self.servers[index];
         server.run_count.fetch_add(1, Ordering::Relaxed);
@@ -223,7 +222,7 @@
         self.store.put("keyed.servers", &server.run_id(), &entry);
     }
 
-    /// Takes the current run of a server out of the register.
+    /// Removes the current run of a server from the register.
     pub(crate) fn deregister(&self, index: usize) {
         let id = self.servers[index].run_id();
         self.store.put("keyed.servers", &id, "");
--- a/crates/soak/src/error.rs
+++ b/crates/soak/src/error.rs
@@ -1,35 +1,35 @@
-//! Why a soak can't be run.
+//! Errors that prevent a soak from running.
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a soak can't be run; a broken promise is no such reason.
+    /// Error that prevents a soak from running. A broken promise is not an error but a result.
     #[derive(Debug)]
     pub enum Error {
-        /// A file, process or socket can't be had.
+        /// A file, process or socket operation failed.
         Io(err: std::io::Error) {
             display("{err}")
             from()
         }
-        /// A stand-in can't be started.
+        /// A stand-in failed to start.
         Standin(err: savoryvane_standins::Error) {
             display("stand-in: {err}")
             from()
         }
-        /// No ports are left for instances.
+        /// No free ports are left for instances.
         NoFreePorts {
-            display("no ports are left for instances")
+            display("no free ports are left for instances")
         }
-        /// The instances did not become ready.
+        /// The instances did not become ready in time.
         NotReady(message: String) {
             display("not ready in time: {message}")
         }
-        /// The command line asks for something that there is not.
+        /// A flag has an invalid value.
         InvalidFlag(message: String) {
             display("{message}")
         }
     }
 }
 
-/// Result of a step of the soak.
+/// Result of a soak operation.
 pub(crate) type Result<T> = std::result::Result<T, Error>;
--- a/crates/soak/src/flags.rs
+++ b/crates/soak/src/flags.rs
@@ -3,26 +3,25 @@
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Plays faults against instances that run as processes, and checks what they
-    /// promise.
+    /// Injects faults into instances that run as processes, and checks their promises.
     ///
-    /// Exit codes: 0 every promise was kept; 1 one was broken; 2 it could not be run.
+    /// Exit codes: 0 all promises kept; 1 a promise was broken; 2 the soak could not run.
     cmd savoryvane-soak {
         /// The program to run (target/release/savoryvane).
         optional --program file: PathBuf
-        /// Seeds to play, one after the other (1).
+        /// Number of seeds, run sequentially (1).
         optional --seeds count: u64
-        /// The first of them (1).
+        /// First seed (1).
         optional --first-seed seed: u64
-        /// Time with faults in each, in s (10).
+        /// Duration of the fault phase of each seed, in s (10).
         optional --seconds seconds: u64
-        /// Instances (5).
+        /// Number of instances (5).
         optional --instances count: usize
-        /// Callers who ask at the same time (16).
+        /// Number of concurrent callers (16).
         optional --callers count: usize
-        /// Folder for logs of seeds that broke a promise (target/soak).
+        /// Directory for the logs of seeds that broke a promise (target/soak).
         optional --logs folder: PathBuf
-        /// Breaks a promise on purpose, to see that it is found: twice, false-refusal,
+        /// Breaks a promise on purpose, to verify that the soak detects it: twice, false-refusal,
         /// cut-short, mixed, unasked, regress, late-config, late-drain, cut-on-stop,
         /// overspent, not-back.
         optional --sabotage promise: String
--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What callers were told, in the order of their answers.
+//! Records the requests of callers and their responses, in order of completion.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -9,15 +9,15 @@
     config::Kind,
 };
 
-/// One request and what its caller got.
+/// One request and its outcome.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestRecord {
-    /// Its identifier.
+    /// Request ID.
     pub(crate) id: String,
     pub(crate) kind: Kind,
     pub(crate) path: String,
     pub(crate) body: String,
-    /// Instance that was asked, and its start.
+    /// Instance that received the request, and the number of its start.
     pub(crate) instance: usize,
     pub(crate) start_number: u32,
     pub(crate) sent_at: Instant,
@@ -33,12 +33,12 @@
             .map(|response| response.status.as_u16())
     }
 
-    /// Tells whether the answer promises that the request has not run.
+    /// Returns whether the response guarantees that the request has not run.
     pub(crate) fn is_refused(&self) -> bool {
         matches!(self.status(), Some(408 | 421 | 429 | 503))
     }
 
-    /// Tells whether it was answered well and whole.
+    /// Returns whether the response is successful and complete.
     pub(crate) fn is_served(&self) -> bool {
         self.outcome
             .as_ref()
@@ -46,7 +46,7 @@
     }
 }
 
-/// All requests of one seed.
+/// All completed requests of one seed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Ledger(Arc<Mutex<Vec<RequestRecord>>>);
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// How many requests ended in which way.
+/// Number of requests by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Counts {
     pub(crate) total: usize,
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,5 +1,5 @@
 //! Runs the real program as separate processes, injects faults from outside, and
-//! checks what it promises from what callers and backend servers see.
+//! checks its guarantees against what callers and backend servers observe.
 
 mod caller;
 mod client;
@@ -42,7 +42,7 @@
     }
 }
 
-/// Plays the seeds one after the other, and returns how many broke a promise.
+/// Runs the seeds sequentially and returns the number of seeds that broke a promise.
 async fn run_seeds(flags: &SavoryvaneSoak) -> Result<u64> {
     let first = flags.first_seed.unwrap_or(1);
     let seeds = flags.seeds.unwrap_or(1);
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,89 +1,89 @@
-//! What goes wrong in one seed, and when.
+//! Draws the faults of one seed and their start times.
 
 use std::time::Duration;
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Mean time between two faults.
+/// Mean pause between two series of faults.
 const MEAN_FAULT_GAP_MS: u64 = 600;
-/// Faults of one process in a series: some end before the one before has.
+/// Number of faults of one process or server in a series, which may overlap.
 const SERIES_LENGTH: std::ops::RangeInclusive<u32> = 1..=3;
 
-/// One fault; those that last end by themselves.
+/// One fault. Faults with a duration end without further action.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// A process stands still for a while.
+    /// Freezes a process.
     Freeze { instance: usize, lasts: Duration },
-    /// A process is killed and started again after a while.
+    /// Kills a process and restarts it after `away`.
     Kill { instance: usize, away: Duration },
-    /// A process is asked to stop, and started again when it has.
+    /// Stops a process in an orderly way and restarts it once it has exited.
     Terminate { instance: usize },
-    /// A process is told that its settings have changed.
+    /// Makes a process reload its settings.
     Reload { instance: usize },
-    /// All processes are killed at the same moment and started again.
+    /// Kills all processes at once and restarts them after `away`.
     KillAll { away: Duration },
-    /// The way from an instance to the store is harmed.
+    /// Injects a fault into the link from an instance to the store.
     StoreLink {
         instance: usize,
         harm: Harm,
         lasts: Duration,
     },
-    /// The way from all instances to a server is harmed.
+    /// Injects a fault into the link from all instances to a server.
     ServerLink {
         server: usize,
         harm: Harm,
         lasts: Duration,
     },
-    /// The store refuses calls, or never answers them.
+    /// Makes the store refuse calls, or never respond to them.
     Store { is_silent: bool, lasts: Duration },
-    /// The store forgets what is not the newest record of its key.
+    /// Makes the store drop all records except the latest one of each key.
     ForgetHistory,
-    /// A server misbehaves.
+    /// Makes a server misbehave.
     Server {
         server: usize,
         misdeed: Misdeed,
         lasts: Duration,
     },
-    /// A server says that it leaves, is gone, and comes back as another run.
+    /// Registers a server as draining, then replaces it with a new run after `away`.
     Replace { server: usize, away: Duration },
-    /// A server names a limit of requests a second, in tenths of one.
+    /// Makes a server announce a request rate limit, in tenths of a request per second.
     Limit {
         server: usize,
         tenths_per_s: u32,
         lasts: Duration,
     },
-    /// A server says in its answers that it leaves, which nobody can read in the register
-    /// while the store is away; then it is gone, and comes back as another run.
+    /// Makes a server announce in its responses that it leaves, then replaces it with a new run.
+    /// The store may be unavailable meanwhile, so that instances can't read the register.
     Leave {
         server: usize,
         is_store_away: bool,
         lasts: Duration,
     },
-    /// A server rejects all requests and asks for backoff.
+    /// Makes a server reject all requests and request backoff.
     Backoff {
         server: usize,
         backoff: Duration,
         lasts: Duration,
     },
-    /// A new version with one more route.
+    /// Publishes a new configuration version with one more route.
     Configure,
 }
 
-/// What happens to a way.
+/// Fault of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Harm {
-    /// Nothing moves.
+    /// No data passes.
     Cut,
-    /// Connections are closed.
+    /// All connections are closed.
     Reset,
-    /// Connections that are established fall silent for good.
+    /// Established connections stay open but never pass data again.
     Silence,
-    /// Everything takes longer.
+    /// All data is delayed.
     Delay,
 }
 
-/// What a server does wrong.
+/// Misbehaviour of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Misdeed {
     Fails,
@@ -110,15 +110,15 @@
 ];
 const HARMS: [Harm; 4] = [Harm::Cut, Harm::Reset, Harm::Silence, Harm::Delay];
 
-/// Limits that servers name, in tenths of a request a second.
+/// Limits that servers announce.
 const LIMITS_TENTHS_PER_S: [u32; 4] = [0, 5, 10, 40];
-/// Mean time between two limits that servers name.
+/// Mean pause between two series of servers that announce limits.
 const MEAN_LIMIT_GAP_MS: u64 = 2_500;
-/// Mean time between two series of servers that leave or ask for backoff.
+/// Mean pause between two series of servers that leave or request backoff.
 const MEAN_SIGNAL_GAP_MS: u64 = 3_000;
 
-/// Draws the faults of `seed`, in their order, each with the time at which it
-/// begins. All end by themselves within a few seconds after `length`.
+/// Draws the faults of `seed`, sorted by their start times. All faults end within a few
+/// seconds after `duration`.
 pub(crate) fn draw(
     seed: u64,
     instances: usize,
@@ -146,8 +146,8 @@
     faults
 }
 
-/// Draws the servers that name limits, of one series after the other: up to all of a
-/// service at the same time. Drawn apart, so that a seed keeps its other faults.
+/// Draws series of servers that announce limits, up to all servers of a service at once. Uses a
+/// separate generator, so that the other faults of a seed do not depend on the limits.
 fn draw_limits(seed: u64, servers: usize, duration: Duration) -> Vec<(Duration, Fault)> {
     let mut rng = Pcg64Mcg::seed_from_u64(!seed);
     let mut limits = Vec::new();
@@ -168,8 +168,8 @@
     limits
 }
 
-/// Draws the servers that leave or ask for backoff in their answers, of one series after the
-/// other: up to all of a service at the same time. Drawn apart, as limits are.
+/// Draws series of servers that announce in their responses that they leave or request backoff,
+/// up to all servers of a service at once. Uses a separate generator, as `draw_limits` does.
 fn draw_signals(seed: u64, servers: usize, duration: Duration) -> Vec<(Duration, Fault)> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed.rotate_left(32) ^ 1);
     let mut signals = Vec::new();
--- a/crates/soak/src/ports.rs
+++ b/crates/soak/src/ports.rs
@@ -1,4 +1,4 @@
-//! Ports of instances, which no other soak on this machine takes.
+//! Allocates ports for instances that no other soak on this machine uses.
 
 use std::{
     net::{SocketAddr, TcpListener},
@@ -10,30 +10,30 @@
     process::Addresses,
 };
 
-/// Ports of instances, below those that connections take theirs from, so that they are
-/// free again after a restart.
+/// Ports for instances. The range is below the ephemeral ports of outgoing connections, so
+/// that a port is still free when its instance restarts.
 const PORT_RANGE: Range<u16> = 10_000..30_000;
-/// Ports of one block, of which each soak has one: enough for a hundred instances. When
-/// they were drawn one by one, two of 113 seeds clashed with a soak beside them.
+/// Ports of the one block that each soak owns: enough for a hundred instances. Drawing single
+/// ports instead made 2 of 113 seeds collide with a concurrent soak.
 const PORTS_PER_BLOCK: u16 = 500;
 
-/// A block of ports.
+/// A block of ports that is reserved for one soak.
 #[derive(Debug)]
 pub(crate) struct Ports {
-    /// Listens on the first one, by which the block is this soak's own.
+    /// Listens on the first port, which reserves the block for this soak.
     _first_listener: TcpListener,
     remaining_ports: Range<u16>,
 }
 
 impl Ports {
-    /// Claims a block that no other soak has.
+    /// Reserves a block that no other soak owns.
     ///
     /// # Errors
     ///
-    /// Fails when there is none.
+    /// Returns [`Error::NoFreePorts`] if all blocks are reserved.
     pub(crate) fn claim() -> Result<Self> {
         let blocks = PORT_RANGE.len() as u16 / PORTS_PER_BLOCK;
-        // Any start will do; others mostly have another.
+        // A random start avoids most collisions with concurrent soaks.
         let start = rand::random_range(0..blocks);
         for block in (0..blocks).map(|offset| (start + offset) % blocks) {
             let first = PORT_RANGE.start + block * PORTS_PER_BLOCK;
@@ -47,11 +47,11 @@
         Err(Error::NoFreePorts)
     }
 
-    /// Returns the addresses of one more instance.
+    /// Allocates the addresses of one more instance.
     ///
     /// # Errors
     ///
-    /// Fails when the block is used up.
+    /// Returns [`Error::NoFreePorts`] if the block is exhausted.
     pub(crate) fn next_addresses(&mut self) -> Result<Addresses> {
         Ok(Addresses {
             caller: self.next_free_port()?,
@@ -61,7 +61,7 @@
         })
     }
 
-    /// Returns the next port that no other program listens on.
+    /// Returns the next address that no other program listens on.
     fn next_free_port(&mut self) -> Result<SocketAddr> {
         let mut remaining_ports = self.remaining_ports.by_ref().map(loopback);
         let free_port = remaining_ports.find(|addr| TcpListener::bind(addr).is_ok());
--- a/crates/soak/src/presses.rs
+++ b/crates/soak/src/presses.rs
@@ -1,5 +1,4 @@
-//! Servers that end under some requests, and crash for other reasons, and start again as
-//! other runs.
+//! Press servers: they crash on poison requests and also at random, and restart as new runs.
 
 use std::time::Duration;
 
@@ -10,12 +9,12 @@
 
 use crate::config::{EVENTS_PER_STREAM, FIRST_ZONE, PRESS_SERVICE};
 
-/// Time between two crashes for other reasons, in ms.
+/// Interval between two random crashes.
 const CRASH_GAP_MS: std::ops::Range<u64> = 1_500..4_000;
-/// Most servers that crash together.
+/// Maximum number of servers that crash together.
 const MAX_CRASHED_TOGETHER: usize = 2;
 
-/// Starts the first ones.
+/// Starts the press servers.
 pub(crate) async fn start(store: &StoreStandIn) -> RestartingServers {
     let settings = RestartSettings {
         service: PRESS_SERVICE,
@@ -28,7 +27,8 @@
     RestartingServers::start(store, settings).await
 }
 
-/// Ends some with all that they run now and then, for `length`.
+/// Crashes servers at random intervals for `length`, together with all requests in flight
+/// on them.
 pub(crate) async fn crash_at_random(servers: &RestartingServers, seed: u64, length: Duration) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let ends_at = Instant::now() + length;
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -1,4 +1,4 @@
-//! One instance as a process of its own, ended only by its own id.
+//! Runs one instance as a child process, which is only signalled by its own process ID.
 
 use std::{
     fs::File,
@@ -12,12 +12,12 @@
 
 use crate::error::Result;
 
-/// Time between two looks whether a process has ended.
+/// Interval between two checks whether a process has exited.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time that a process has to stop after it was asked to, as the platform gives.
+/// Time that a process has to exit after SIGTERM, as the platform grants.
 pub(crate) const STOP_GRACE: Duration = Duration::from_secs(8);
 
-/// Addresses of one instance, the same after each start.
+/// Listen addresses of one instance, which stay the same across restarts.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Addresses {
     pub(crate) caller: SocketAddr,
@@ -26,20 +26,20 @@
     pub(crate) admin: SocketAddr,
 }
 
-/// An instance and its process, which is killed when dropped.
+/// An instance and its process, which is killed on drop.
 #[derive(Debug)]
 pub(crate) struct Instance {
     program: PathBuf,
     settings: PathBuf,
     log: PathBuf,
     child: Option<Child>,
-    /// Starts so far.
+    /// Number of times the process was started.
     pub(crate) start_count: u32,
 }
 
 impl Drop for Instance {
     fn drop(&mut self) {
-        // Nothing is left to do about one that can't be killed.
+        // A process that can't be killed can't be handled in any other way here.
         let _ = self.kill();
     }
 }
@@ -57,7 +57,7 @@
         })
     }
 
-    /// Starts the process, unless it runs.
+    /// Starts the process if it is not running.
     pub(crate) fn start(&mut self) -> Result<()> {
         if self.child.is_some() {
             return Ok(());
@@ -76,7 +76,7 @@
         Ok(())
     }
 
-    /// Starts the process again if it has ended by itself.
+    /// Restarts the process if it has exited without being stopped or killed here.
     pub(crate) fn restart_if_exited(&mut self) -> Result<()> {
         let has_exited = match &mut self.child {
             Some(child) => child.try_wait()?.is_some(),
@@ -89,7 +89,7 @@
         Ok(())
     }
 
-    /// Kills the process, if it runs.
+    /// Kills the process if it is running.
     pub(crate) fn kill(&mut self) -> Result<()> {
         if let Some(mut child) = self.child.take() {
             child.kill()?;
@@ -98,7 +98,7 @@
         Ok(())
     }
 
-    /// Sends a signal to the process, if it runs.
+    /// Sends a signal to the process if it is running.
     pub(crate) fn signal(&self, signal: &str) -> Result<()> {
         if let Some(child) = &self.child {
             let id = child.id().to_string();
@@ -107,26 +107,26 @@
         Ok(())
     }
 
-    /// Takes the process out, to wait for its end.
+    /// Takes the process out of the instance, to wait for its exit.
     pub(crate) fn take_process(&mut self) -> Option<StoppingProcess> {
         self.child.take().map(StoppingProcess)
     }
 }
 
-/// A process that was asked to stop; killed when dropped.
+/// A process that has received SIGTERM, and is killed on drop.
 #[derive(Debug)]
 pub(crate) struct StoppingProcess(Child);
 
 impl Drop for StoppingProcess {
     fn drop(&mut self) {
-        // It has ended already in most cases.
+        // Fails in most cases because the process has already exited.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
 impl StoppingProcess {
-    /// Waits for the end of the process, and kills it after the grace time.
+    /// Waits for the process to exit, and kills it after [`STOP_GRACE`].
     pub(crate) async fn wait(mut self) -> Result<()> {
         let deadline = time::Instant::now() + STOP_GRACE;
         while time::Instant::now() < deadline {
--- a/crates/soak/src/sabotage.rs
+++ b/crates/soak/src/sabotage.rs
@@ -1,49 +1,49 @@
-//! Ways to break a promise on purpose, each by a party outside the instances, so
-//! that the soak is seen to find it.
+//! Breaks promises on purpose, from outside the instances, to verify that the soak detects
+//! each of them.
 
 use crate::error::{Error, Result};
 
-/// A promise that is broken on purpose.
+/// A way to break a promise on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Sabotage {
-    /// Requests that may run once are sent through two instances.
+    /// Sends requests that may run at most once twice.
     Twice,
-    /// Failures are passed on as refusals.
+    /// Reports failures as refusals.
     FalseRefusal,
-    /// Streams lose their last event.
+    /// Truncates streams to half of their length.
     CutShort,
-    /// Answers are given to other callers.
+    /// Makes responses look as if they belonged to another caller's request.
     Mixed,
-    /// Servers are sent requests that nobody asked for.
+    /// Sends servers a request that no caller has sent.
     Unasked,
-    /// Routes that were there are answered as unknown.
+    /// Reports known routes as unknown.
     Regress,
-    /// The operator's last version does not reach the store.
+    /// Withholds the last configuration version from the store.
     LateConfig,
-    /// A server that is leaving is sent requests.
+    /// Sends requests to a server that is draining.
     LateDrain,
-    /// A planned stop kills the process.
+    /// Kills the process in a planned stop.
     CutOnStop,
-    /// Servers are sent many requests again.
+    /// Sends a server the same request many times, beyond the retry budget.
     Overspent,
-    /// Servers are ended by requests that no instance counts.
+    /// Crashes servers with requests that no instance counts.
     Uncounted,
-    /// A server that names a limit is sent many requests.
+    /// Sends a server more requests than the limit that it announces.
     OverLimit,
-    /// Answers seem to say that their servers leave.
+    /// Marks responses as if their servers announced that they leave.
     UnseenLeaving,
-    /// A server that asks for backoff is sent requests.
+    /// Sends requests to a server during the backoff that it requested.
     OverBackoff,
-    /// An instance that was killed is not started again.
+    /// Kills an instance and does not restart it.
     NotBack,
 }
 
 impl Sabotage {
-    /// Reads the name of one.
+    /// Parses the name of a sabotage.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Flag`] for any other name.
+    /// Returns [`Error::InvalidFlag`] for an unknown name.
     pub(crate) fn parse(name: &str) -> Result<Self> {
         Ok(match name {
             "twice" => Self::Twice,
@@ -61,7 +61,7 @@
             "unseen-leaving" => Self::UnseenLeaving,
             "over-backoff" => Self::OverBackoff,
             "not-back" => Self::NotBack,
-            other => return Err(Error::InvalidFlag(format!("no such sabotage: {other}"))),
+            other => return Err(Error::InvalidFlag(format!("unknown sabotage: {other}"))),
         })
     }
 }
