--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -1,5 +1,4 @@
-//! Callers who ask one instance after the other, over connections that they keep
-//! until they are closed.
+//! Callers, which send requests sequentially over persistent connections to instances.
 
 use std::{
     collections::HashMap,
@@ -26,20 +25,20 @@
     sabotage::Sabotage,
 };
 
-/// Time that callers wait, in ms; the route's timeout is shorter.
+/// Time that callers wait for a response, longer than the timeout of the routes.
 const CALLER_TIMEOUT_MS: u64 = TIMEOUT_MS + 1_000;
-/// Time between an answer and the next request of a caller.
+/// Pause between a response and the next request of a caller.
 const THINK_TIME_MS: std::ops::Range<u64> = 5..60;
-/// Time until a caller comes again with the same request.
+/// Pause before a caller sends a request of the same kind again.
 const RESEND_DELAY_MS: std::ops::Range<u64> = 30..300;
-/// Out of a hundred requests, those that go over a new connection.
+/// Percentage of requests that use a new connection.
 const NEW_CONNECTION_PERCENT: u32 = 15;
-/// Time between two looks whether instances take requests.
+/// Interval between two readiness checks, and the timeout of each check.
 const READY_INTERVAL: Duration = Duration::from_millis(200);
-/// One in so many answers is tampered with by a sabotage.
+/// A sabotage tampers with one request or response out of this many.
 const TAMPER_PERIOD: u64 = 40;
 
-/// What all callers share.
+/// State that all callers share.
 #[derive(Debug)]
 pub(crate) struct Callers {
     pub(crate) deployment: Arc<Deployment>,
@@ -58,7 +57,7 @@
         })
     }
 
-    /// Lets every caller end after its answer.
+    /// Stops every caller after its current request.
     pub(crate) fn stop(&self) {
         self.is_stopped.store(true, Ordering::Relaxed);
     }
@@ -67,7 +66,7 @@
         self.is_stopped.load(Ordering::Relaxed)
     }
 
-    /// Asks until it is stopped; `seed` drives its choices.
+    /// Sends requests of random kinds until the callers are stopped.
     pub(crate) async fn send_until_stopped(self: Arc<Self>, seed: u64) {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut connections: HashMap<usize, Connection> = HashMap::new();
@@ -76,7 +75,7 @@
             time::sleep(pause).await;
             let kind = self.draw_kind(&mut rng);
             let is_new = rng.random_range(0..100) < NEW_CONNECTION_PERCENT;
-            // An open connection stays with its instance, ready or not.
+            // An open connection is reused even if its instance is no longer ready.
             let instance = match connections.keys().min().copied() {
                 Some(instance) if !is_new => instance,
                 _ => {
@@ -95,7 +94,7 @@
         }
     }
 
-    /// Asks for the same kind again and again, at any instance.
+    /// Sends requests of one kind to random instances until the callers are stopped.
     pub(crate) async fn resend_until_stopped(self: Arc<Self>, kind: Kind, seed: u64) {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         while !self.is_stopped() {
@@ -122,7 +121,7 @@
         }
     }
 
-    /// Asks once, over the connection that is kept or a new one.
+    /// Sends one request over an open or a new connection, and returns its record.
     pub(crate) async fn send_recorded(
         &self,
         instance: usize,
@@ -190,7 +189,7 @@
         client::exchange(connection, request, deadline).await
     }
 
-    /// Does to an answer what a faulty instance would do.
+    /// Alters a response as a faulty instance would, if the sabotage requires it.
     fn tamper(&self, number: u64, kind: Kind, response: &mut Response) {
         match self.sabotage {
             Some(Sabotage::FalseRefusal) if matches!(response.status.as_u16(), 502 | 504) => {
@@ -238,8 +237,7 @@
         .unwrap_or_default()
 }
 
-/// Looks again and again which instances say that they take requests, as the
-/// platform does.
+/// Polls the readiness of all instances, as the platform does.
 pub(crate) async fn poll_readiness(deployment: Arc<Deployment>) {
     loop {
         for (index, addresses) in deployment.addresses.iter().enumerate() {
--- a/crates/soak/src/disturbances.rs
+++ b/crates/soak/src/disturbances.rs
@@ -25,12 +25,7 @@
     }
 
     /// Returns whether `target` was disturbed at any time between `from` and `to`.
-    pub(crate) fn overlaps(
-        &self,
-        target: DisturbanceTarget,
-        from: Instant,
-        to: Instant,
-    ) -> bool {
+    pub(crate) fn overlaps(&self, target: DisturbanceTarget, from: Instant, to: Instant) -> bool {
         let all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let mut all = all.iter().filter(|(recorded, ..)| *recorded == target);
         all.any(|(_, started_at, ended_at)| *started_at <= to && *ended_at >= from)
--- a/crates/soak/src/presses.rs
+++ b/crates/soak/src/presses.rs
@@ -29,7 +29,7 @@
 
 /// Crashes servers at random intervals for `length`, together with all requests in flight
 /// on them.
-pub(crate) async fn crash_at_random(servers: &RestartingServers, seed: u64, length: Duration) {
+pub(crate) async fn crash_some(servers: &RestartingServers, seed: u64, length: Duration) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let ends_at = Instant::now() + length;
     loop {
--- a/crates/soak/src/promises.rs
+++ b/crates/soak/src/promises.rs
@@ -1,4 +1,4 @@
-//! Checks what was promised against what callers and servers saw.
+//! Checks the promises against what callers and servers observed.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -19,55 +19,56 @@
     signals::SignalCheck,
 };
 
-/// Window of the budget of repeats.
+/// Window of the retry budget.
 const RETRY_BUDGET_WINDOW: Duration = Duration::from_secs(10);
-/// Time after an answer until a request counts as asked after it.
+/// Minimum time between a response and a request that counts as sent after it.
 const ORDER_MARGIN: Duration = Duration::from_millis(250);
-/// Time beyond a route's timeout by which a caller has an answer, on a busy
-/// machine.
+/// Time beyond a route's timeout within which a caller must have a response, as a margin for a
+/// busy machine.
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(900);
-/// Span in which a server with a limit is looked at, and the requests that it may get in
-/// it beyond one and a half times its limit, by the platform's bound.
+/// Window in which the requests to a server with a limit are counted, and the requests that it
+/// may receive in the window beyond 1.5 times its limit, by the platform's bound.
 const LIMIT_WINDOW: Duration = Duration::from_secs(4);
 const LIMIT_SLACK: f64 = 5.0;
-/// Servers that may end under one request.
+/// Number of servers that may crash under one request.
 const MAX_CRASHES_PER_REQUEST: usize = 3;
-/// Part of the requests that are served once all is calm, in per cent.
+/// Minimum percentage of requests that are served in the calm phase.
 const CALM_SERVED_PERCENT: usize = 95;
 
-/// The calm end of a seed, and what was done in it.
+/// The calm phase at the end of a seed: planned operations and their results.
 #[derive(Debug)]
 pub(crate) struct CalmPhase {
     pub(crate) started_at: Instant,
-    /// Instances that took requests then.
+    /// Instances that were ready at the start of the phase.
     pub(crate) ready_instances: Vec<usize>,
-    /// Version that was put in force.
+    /// Configuration version that was published.
     pub(crate) version: u64,
-    /// Instances that did not serve its route in time, and what they said.
+    /// Instances that did not serve the route of that version in time, with the status of their
+    /// responses.
     pub(crate) stale_instances: Vec<(usize, Option<u16>)>,
-    /// Server that said that it leaves.
+    /// Server that was registered as draining.
     pub(crate) leaving_server: usize,
-    /// Time from which it gets nothing.
+    /// Time from which the leaving server must receive no requests.
     pub(crate) drained_from: Instant,
-    /// Server that names a limit.
+    /// Server that announces a limit.
     pub(crate) limited_server: usize,
-    /// Instance that was stopped.
+    /// Instance that was stopped as planned.
     pub(crate) stopped_instance: usize,
     pub(crate) stopped_at: Instant,
     pub(crate) stop_completed_at: Instant,
 }
 
-/// Everything that was seen, by request.
+/// Requests of callers and executions on servers, indexed by request ID.
 struct Observations<'a> {
     deployment: &'a Deployment,
     records: &'a [RequestRecord],
     by_id: HashMap<&'a str, &'a RequestRecord>,
-    /// What servers ran: service and request.
+    /// Executed requests with the services of their servers.
     executions: Vec<(&'static str, Seen)>,
     runs: HashMap<String, usize>,
 }
 
-/// Returns the promises that were broken, in words.
+/// Checks all promises and returns a description of each violation.
 pub(crate) fn check(deployment: &Deployment, calm: &CalmPhase) -> Vec<String> {
     let records = deployment.ledger.lock();
     let mut executions = Vec::new();
@@ -152,7 +153,7 @@
             if runs > 0 {
                 let (id, kind, status) = (&record.id, record.kind, record.status());
                 violations.push(format!(
-                    "{id} ({kind:?}) was told {status:?} and ran {runs} times"
+                    "{id} ({kind:?}) was refused with {status:?} and ran {runs} times"
                 ));
             }
         }
@@ -176,9 +177,9 @@
                 expected.starts_with(strip_torn_event(record.kind, &body))
             };
             if signature.is_empty() || !is_expected {
-                let (id, kind, whole) = (&record.id, record.kind, response.is_complete);
+                let (id, kind, complete) = (&record.id, record.kind, response.is_complete);
                 violations.push(format!(
-                    "{id} ({kind:?}) got {body:?}, whole: {whole}, signed {signature:?}"
+                    "{id} ({kind:?}) received {body:?}, complete: {complete}, signed {signature:?}"
                 ));
             }
         }
@@ -189,7 +190,7 @@
             let id = id_of(seen);
             let Some(record) = self.by_id.get(id) else {
                 violations.push(format!(
-                    "a server of {service} ran {id:?}, which nobody asked"
+                    "a server of {service} ran {id:?}, which no caller sent"
                 ));
                 continue;
             };
@@ -199,12 +200,12 @@
             let is_workspace = seen.header("tenant") == Some(WORKSPACE);
             let has_key = seen.headers.values().any(|value| value == API_KEY);
             if !is_same || !is_workspace || has_key {
-                violations.push(format!("{id} was changed on its way: {seen:?}"));
+                violations.push(format!("{id} was modified in transit: {seen:?}"));
             }
         }
     }
 
-    /// Results of stages go to the request that they were made for, all of them.
+    /// Checks that a request receives all stage results that were made for it, and no others.
     fn inputs_belong_to_request(&self, violations: &mut Vec<String>) {
         let servers = self.deployment.servers.iter();
         let made = servers.flat_map(|server| server.standin.made());
@@ -225,12 +226,12 @@
                 .iter()
                 .all(|input| input.is_some_and(|made| made.request == id && made.stage == 1));
             if !is_own || inputs.len() != 3 || pieces.len() != 3 {
-                violations.push(format!("{id} was given the inputs {inputs:?}"));
+                violations.push(format!("{id} received the inputs {inputs:?}"));
             }
         }
     }
 
-    /// An instance that has served a route in one run does not forget it.
+    /// Checks that an instance that has served a route does not lose it within the same run.
     fn routes_never_regress(&self, violations: &mut Vec<String>) {
         let mut known: HashMap<(usize, u32, u64), Instant> = HashMap::new();
         for record in self.records {
@@ -250,7 +251,7 @@
         {
             let Kind::Added(version) = record.kind else {
                 let (id, kind) = (&record.id, record.kind);
-                violations.push(format!("{id} ({kind:?}) got 404"));
+                violations.push(format!("{id} ({kind:?}) received 404"));
                 continue;
             };
             let key = (record.instance, record.start_number, version);
@@ -260,7 +261,7 @@
             {
                 let (id, instance) = (&record.id, record.instance);
                 violations.push(format!(
-                    "{id}: instance {instance} forgot the route of version {version}"
+                    "{id}: instance {instance} lost the route of version {version}"
                 ));
             }
         }
@@ -291,7 +292,7 @@
                 let max_allowed = RETRY_RATIO * request_count as f64 + f64::from(RETRY_SLACK);
                 if count as f64 > max_allowed {
                     violations.push(format!(
-                        "{service}: {count} repeats for {request_count} requests"
+                        "{service}: {count} retries for {request_count} requests"
                     ));
                     break;
                 }
@@ -299,8 +300,8 @@
         }
     }
 
-    /// Returns the requests for a service in a window that ends at `end`, or in
-    /// one half or a whole window before, whichever has most.
+    /// Returns the number of requests to a service in the window that ends at `end`, or in the
+    /// window that ends half or one window earlier, whichever is largest.
     fn request_count_around(&self, service: &str, end: Instant) -> usize {
         let is_for = |record: &&RequestRecord| match record.kind {
             Kind::Lookup | Kind::Booking | Kind::Added(_) => service == "desk",
@@ -319,15 +320,17 @@
         counts.into_iter().max().unwrap_or(0)
     }
 
-    /// A request that ends servers is sent to three at most once all are in touch; nobody
-    /// else is refused for that.
+    /// Checks that a poison request crashes at most three servers once all instances are connected
+    /// again, and that no other request is refused as a poison request.
     fn crashes_are_bounded(&self, calm: &CalmPhase, violations: &mut Vec<String>) {
         let ended = self.executions.iter().filter(|(service, seen)| {
             *service == PRESS_SERVICE && seen.path == POISON_PATH && seen.at >= calm.started_at
         });
         let ended = ended.count();
         if ended > MAX_CRASHES_PER_REQUEST {
-            violations.push(format!("{ended} servers ended under one request once calm"));
+            violations.push(format!(
+                "{ended} servers crashed under one request in the calm phase"
+            ));
         }
         let others = self
             .records
@@ -339,11 +342,11 @@
         });
         violations.extend(
             wrongly_refused
-                .map(|record| format!("{} was refused as if it ended servers", record.id)),
+                .map(|record| format!("{} was refused as if it crashed servers", record.id)),
         );
     }
 
-    /// What holds while nothing is wrong.
+    /// Checks the promises that hold in the absence of faults.
     fn check_calm_phase(&self, calm: &CalmPhase, violations: &mut Vec<String>) {
         let instances = self.deployment.addresses.len();
         if calm.ready_instances.len() < instances {
@@ -372,14 +375,14 @@
             .count();
         if served * 100 < calm_records.len() * CALM_SERVED_PERCENT {
             violations.push(format!(
-                "only {served} of {} served once calm",
+                "only {served} of {} served in the calm phase",
                 calm_records.len()
             ));
         }
         for record in calm_records {
             let elapsed = record.ended_at - record.sent_at;
             if elapsed > Duration::from_millis(TIMEOUT_MS) + TIMEOUT_MARGIN {
-                violations.push(format!("{} had no answer for {elapsed:?}", record.id));
+                violations.push(format!("{} had no response for {elapsed:?}", record.id));
             }
         }
     }
@@ -391,13 +394,14 @@
         for seen in late {
             let id = id_of(seen);
             violations.push(format!(
-                "{} got {id} although it is leaving",
+                "{} received {id} although it is leaving",
                 server.run_id()
             ));
         }
     }
 
-    /// A server that names a limit gets no more, until an instance is stopped.
+    /// Checks that a server with a limit receives no more requests than it allows, until an
+    /// instance is stopped.
     fn limit_is_respected(&self, calm: &CalmPhase, violations: &mut Vec<String>) {
         let server = &self.deployment.servers[calm.limited_server];
         let executions = server.standin.ran().into_iter().map(|seen| seen.at);
@@ -413,11 +417,13 @@
             1.5 * CALM_LIMIT_REQUESTS_PER_S * LIMIT_WINDOW.as_secs_f64() + LIMIT_SLACK;
         if worst as f64 > max_allowed {
             let id = server.run_id();
-            violations.push(format!("{id} got {worst} in 4 s although it names a limit"));
+            violations.push(format!(
+                "{id} received {worst} requests in 4 s, more than its limit allows"
+            ));
         }
     }
 
-    /// A planned stop cuts nothing that has reached a server.
+    /// Checks that a planned stop interrupts no request that has reached a server.
     fn planned_stop_cuts_nothing(&self, calm: &CalmPhase, violations: &mut Vec<String>) {
         let callers_records = self
             .records
@@ -431,14 +437,14 @@
                 Err(_) => true,
             };
             if is_during && is_cut && self.execution_count(&record.id) > 0 {
-                violations.push(format!("{} was cut by a planned stop", record.id));
+                violations.push(format!("{} was interrupted by a planned stop", record.id));
             }
         }
     }
 }
 
-/// Returns a body that broke off without the torn event that its server may have
-/// sent last; of a stream that may be resumed no torn event is passed on.
+/// Returns a truncated body without the partial event that its server may have sent last.
+/// Partial events of resumable streams are never forwarded, so those bodies stay unchanged.
 fn strip_torn_event(kind: Kind, body: &str) -> &str {
     match kind {
         Kind::Draft | Kind::Staged | Kind::Print => body.strip_suffix(TORN_EVENT).unwrap_or(body),
@@ -446,7 +452,7 @@
     }
 }
 
-/// Returns the whole answer of `server` to a request.
+/// Returns the body of a complete response of `server` to a request.
 fn expected_body(record: &RequestRecord, server: &str) -> String {
     let id = &record.id;
     if !record.kind.is_stream() {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,5 +1,5 @@
-//! Plays one seed: faults for some seconds, a pause, then planned work while all
-//! is calm, and the check of what everybody saw.
+//! Runs one seed: a fault phase, a recovery pause, a calm phase with planned operations, and
+//! the check of the promises.
 
 use std::{
     collections::HashMap,
@@ -35,19 +35,20 @@
     signals::BACKOFF_REACTION_BOUND,
 };
 
-/// Time for the instances to become ready after their first start.
+/// Time within which all instances must become ready after their first start.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time after the last fault until everything has to be well again: what the
-/// platform gives for recovery is 12 s, what it calls calm begins after 3 s.
+/// Time after the last fault until everything must have recovered. The platform allows 12 s for
+/// recovery, and its calm phase starts after 3 s.
 const RECOVERY_TIME: Duration = Duration::from_secs(5);
-/// Time within which a version is in force and a server that leaves is left
-/// alone, by the platform's bounds of 2 s, and some more on a busy machine.
+/// Time until a configuration version must be in force and a leaving server must receive no
+/// requests: the platform's bound of 2 s and a margin for a busy machine.
 const PROPAGATION_BOUND: Duration = Duration::from_millis(2_400);
-/// Time for which callers go on after the last planned step.
+/// Time for which callers continue after the last planned operation.
 const FINAL_TRAFFIC_TIME: Duration = Duration::from_millis(1_500);
-/// Time between two looks for processes that have ended by themselves.
+/// Interval between two checks for processes that have exited unexpectedly.
 const SUPERVISE_INTERVAL: Duration = Duration::from_millis(300);
-/// Callers at the servers that end under some requests; two of them with the same one.
+/// Kinds of requests of the callers of the press service. Two of the callers send the same poison
+/// request.
 const PRESS_CALLERS: [Kind; 5] = [
     Kind::Print,
     Kind::Print,
@@ -55,12 +56,12 @@
     Kind::Poison,
     Kind::Poison,
 ];
-/// Requests a second that an engine takes once all is calm.
+/// Request rate limit that one engine announces in the calm phase.
 pub(crate) const CALM_LIMIT_REQUESTS_PER_S: f64 = 1.0;
-/// Delay of harmed ways, in ms.
+/// Delay of links with [`Harm::Delay`].
 const LINK_DELAY_MS: u64 = 120;
 
-/// How seeds are played.
+/// Options that apply to all seeds.
 #[derive(Debug)]
 pub(crate) struct Options {
     program: PathBuf,
@@ -72,11 +73,11 @@
 }
 
 impl Options {
-    /// Takes over the command line.
+    /// Creates the options from the command line.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Flag`] for a sabotage that there is not.
+    /// Returns [`Error::InvalidFlag`] for an unknown sabotage.
     pub(crate) fn from_flags(flags: &SavoryvaneSoak) -> Result<Self> {
         let program = flags.program.clone();
         let sabotage = flags.sabotage.as_deref().map(Sabotage::parse).transpose()?;
@@ -94,21 +95,22 @@
     }
 }
 
-/// How a seed ended.
+/// Result of one seed.
 #[derive(Debug)]
 pub(crate) struct Verdict {
     pub(crate) faults: usize,
     pub(crate) counts: Counts,
     pub(crate) violations: Vec<String>,
-    /// Folder with the logs, if a promise was broken.
+    /// Directory with the logs, if a promise was broken.
     pub(crate) logs: Option<PathBuf>,
 }
 
-/// Plays one seed.
+/// Runs one seed and checks the promises.
 ///
 /// # Errors
 ///
-/// Fails when processes or stand-ins can't be started.
+/// Returns an error if processes or stand-ins can't be started, or the instances do not become
+/// ready in time.
 pub(crate) async fn run_seed(options: &Options, seed: u64) -> Result<Verdict> {
     let folder = options.logs.join(format!("seed-{seed}"));
     if folder.exists() {
@@ -134,7 +136,7 @@
     }
     background_tasks.spawn({
         let (deployment, fault_duration) = (Arc::clone(&deployment), options.fault_duration);
-        async move { presses::crash_at_random(&deployment.press_servers, seed, fault_duration).await }
+        async move { presses::crash_some(&deployment.press_servers, seed, fault_duration).await }
     });
     for index in 0..options.callers as u64 {
         caller_tasks.spawn(Arc::clone(&callers).send_until_stopped(seed << 8 | index));
@@ -191,20 +193,20 @@
     Ok(())
 }
 
-/// Starts processes again that have ended by themselves, as the platform does.
+/// Restarts processes that have exited unexpectedly, as the platform does.
 async fn supervise(deployment: Arc<Deployment>) {
     loop {
         time::sleep(SUPERVISE_INTERVAL).await;
         for index in 0..deployment.addresses.len() {
-            // One that can't be started now is tried again at the next look.
+            // A failed start is retried at the next check.
             if let Err(err) = deployment.instance(index).restart_if_exited() {
-                eprintln!("instance {index} not started: {err}");
+                eprintln!("failed to start instance {index}: {err}");
             }
         }
     }
 }
 
-/// Lets every fault happen at its time, and waits until all have ended.
+/// Injects every fault at its start time, and waits until all have ended.
 async fn inject(callers: &Arc<Callers>, faults: &[(Duration, Fault)]) -> Result<()> {
     let started_at = Instant::now();
     let mut fault_tasks = JoinSet::new();
@@ -357,7 +359,7 @@
     }
 }
 
-/// Sends a server the request of a caller again after it has asked for backoff.
+/// Sends a server a caller's latest request several times during the backoff that it requested.
 async fn send_during_backoff(deployment: &Deployment, addr: SocketAddr) {
     let last_id = deployment
         .ledger
@@ -378,11 +380,11 @@
     }
 }
 
-/// Asks a process to stop, waits until it has, and starts it again.
+/// Stops a process with SIGTERM, waits for its exit, and restarts it.
 async fn terminate(deployment: &Deployment, instance: usize) -> Result<()> {
     deployment.instance(instance).signal("-TERM")?;
     let Some(stopping) = deployment.instance(instance).take_process() else {
-        // It is away already, and whoever ended it starts it again.
+        // The process is already stopped, and the fault that stopped it restarts it.
         return Ok(());
     };
     stopping.wait().await?;
@@ -427,14 +429,13 @@
     }
 }
 
-/// Returns the engine that names a limit once all is calm.
+/// Returns the engine that announces a limit in the calm phase.
 fn limited_engine(seed: u64) -> usize {
     let engines = servers_of("engine");
     engines.start + seed as usize % engines.len()
 }
 
-/// Does what operators do on a calm day: a version, a server that leaves, a stop
-/// of an instance.
+/// Performs planned operations: publishes a version, drains a server, and stops an instance.
 async fn run_calm_phase(
     callers: &Callers,
     sabotage: Option<Sabotage>,
@@ -489,7 +490,7 @@
     })
 }
 
-/// Sends servers what no instance may send them.
+/// Sends servers requests that no instance may send them, as the sabotage requires.
 async fn sabotage_servers(
     deployment: &Deployment,
     sabotage: Option<Sabotage>,
@@ -508,7 +509,7 @@
     };
     let addr = deployment.servers[server].standin.addr;
     for _ in 0..times {
-        // A server may close a connection after any answer.
+        // A server may close a connection after any response.
         if let Ok(mut connection) = client::connect(addr).await {
             let request = Request::get(format!("/lookup/{id}"));
             send_directly(&mut connection, request, id, "").await;
@@ -516,7 +517,7 @@
     }
 }
 
-/// Ends servers by requests that no instance has counted.
+/// Crashes press servers with requests that no instance has counted.
 async fn crash_press_servers(deployment: &Deployment) {
     for _ in 0..6 {
         let Some(addr) = deployment.press_servers.running() else {
@@ -529,7 +530,7 @@
     }
 }
 
-/// Sends a server a request past all instances.
+/// Sends a request to a server directly, without an instance.
 async fn send_directly(
     connection: &mut Connection,
     request: request::Builder,
@@ -542,6 +543,6 @@
         .body(Full::new(Bytes::from(body)))
         .unwrap_or_default();
     let deadline = Instant::now() + Duration::from_secs(1);
-    // What the server makes of it is seen in its books.
+    // The server records the request, so that its response does not matter.
     let _ = client::exchange(connection, request, deadline).await;
 }
--- a/crates/soak/src/signals.rs
+++ b/crates/soak/src/signals.rs
@@ -1,5 +1,5 @@
-//! Checks that instances keep to what servers say of themselves in their answers, also while
-//! other faults go on.
+//! Checks that instances respect the signals that servers send in their responses (leaving,
+//! backoff), also during other faults.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -11,18 +11,18 @@
     ledger::RequestRecord, promises::id_of,
 };
 
-/// Time from an answer in which a server says that it leaves until it gets no requests that
-/// are sent later, by the platform's bound.
+/// Platform's bound on the time from a response that announces that a server leaves until the
+/// server receives no later requests.
 const DRAIN_BOUND: Duration = Duration::from_secs(2);
-/// Time from a request for backoff until it has to be kept, by the platform's bound.
+/// Platform's bound on the time until an instance respects a requested backoff.
 pub(crate) const BACKOFF_REACTION_BOUND: Duration = Duration::from_millis(500);
-/// Requests that may reach a server within a backoff, by the platform's bound.
+/// Platform's bound on the requests that may reach a server during a backoff.
 const MAX_REQUESTS_IN_BACKOFF: usize = 2;
 
-/// One run of one instance.
+/// One run of an instance: its index and the number of its start.
 type InstanceRun = (usize, u32);
 
-/// Checks what callers asked against what came to servers.
+/// Checks the requests of callers against the requests that reached servers.
 pub(crate) struct SignalCheck<'a> {
     pub(crate) deployment: &'a Deployment,
     pub(crate) records: &'a [RequestRecord],
@@ -30,7 +30,8 @@
 }
 
 impl SignalCheck<'_> {
-    /// A server that has said so to an instance gets no requests that come later from it.
+    /// Checks that an instance sends no later requests to a server that has announced to it that
+    /// it leaves. Skips instances that were frozen meanwhile.
     pub(crate) fn leaving_is_respected(&self, violations: &mut Vec<String>) {
         let leaving_known_at = self.leaving_known_at();
         for server in &self.deployment.servers {
@@ -50,14 +51,16 @@
                 if is_late {
                     let (id, instance) = (&record.id, record.instance);
                     violations.push(format!(
-                        "{server_id} got {id} of instance {instance} after it had said that it leaves"
+                        "{server_id} received {id} from instance {instance} after announcing \
+                         that it leaves"
                     ));
                 }
             }
         }
     }
 
-    /// Returns when each run of an instance had passed on that a server leaves.
+    /// Returns when each run of an instance forwarded its first response that announces that a
+    /// server leaves.
     fn leaving_known_at(&self) -> HashMap<(&str, InstanceRun), Instant> {
         let mut leaving_known_at: HashMap<(&str, InstanceRun), Instant> = HashMap::new();
         for record in self.records {
@@ -77,7 +80,8 @@
         leaving_known_at
     }
 
-    /// A server that has asked an instance for backoff gets hardly anything from it meanwhile.
+    /// Checks that an instance sends almost no requests to a server during the backoff that the
+    /// server requested from it. Skips frozen instances and links with faults.
     pub(crate) fn backoff_is_respected(&self, violations: &mut Vec<String>) {
         for (index, server) in self.deployment.servers.iter().enumerate() {
             let arrived = server.standin.arrived();
@@ -101,8 +105,8 @@
                 if count > MAX_REQUESTS_IN_BACKOFF && !is_disturbed {
                     let (id, instance) = (server.run_id(), instance_run.0);
                     violations.push(format!(
-                        "{id} got {count} of instance {instance} within the backoff that it \
-                         asked for"
+                        "{id} received {count} requests from instance {instance} during the \
+                         backoff that it requested"
                     ));
                     break;
                 }
@@ -110,14 +114,15 @@
         }
     }
 
-    /// Returns the instance that a rejected request asks for backoff, and until when.
+    /// Returns the instance run that the rejection of a request asks to back off, and the end of
+    /// the backoff.
     fn backoff(&self, seen: &Seen) -> Option<(InstanceRun, Instant)> {
         let backoff_s: f64 = seen.retry_after.as_ref()?.parse().ok()?;
         let until = seen.at + Duration::from_secs_f64(backoff_s);
         Some((self.instance_run_of(seen)?, until))
     }
 
-    /// Returns the run of the instance that sent a request; none for calls with pieces, which
+    /// Returns the instance run that sent a request, or `None` for calls with pieces, which
     /// another instance may have made.
     fn instance_run_of(&self, seen: &Seen) -> Option<InstanceRun> {
         let record = self.by_id.get(id_of(seen))?;
