--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,89 +1,89 @@
-//! What goes wrong in one seed, and when.
+//! Draws the faults of one seed and their start times.
 
 use std::time::Duration;
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Mean time between two faults.
-const GAP_MS: u64 = 600;
-/// Faults of one process in a series: some end before the one before has.
-const SERIES: std::ops::RangeInclusive<u32> = 1..=3;
+/// Mean pause between two series of faults.
+const MEAN_FAULT_GAP_MS: u64 = 600;
+/// Number of faults of one process or server in a series, which may overlap.
+const SERIES_LENGTH: std::ops::RangeInclusive<u32> = 1..=3;
 
-/// One fault; those that last end by themselves.
+/// One fault. Faults with a duration end without further action.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// A process stands still for a while.
+    /// Freezes a process.
     Freeze { instance: usize, lasts: Duration },
-    /// A process is killed and started again after a while.
+    /// Kills a process and restarts it after `away`.
     Kill { instance: usize, away: Duration },
-    /// A process is asked to stop, and started again when it has.
+    /// Stops a process in an orderly way and restarts it once it has exited.
     Terminate { instance: usize },
-    /// A process is told that its settings have changed.
+    /// Makes a process reload its settings.
     Reload { instance: usize },
-    /// All processes are killed at the same moment and started again.
+    /// Kills all processes at once and restarts them after `away`.
     KillAll { away: Duration },
-    /// The way from an instance to the store is harmed.
+    /// Injects a fault into the link from an instance to the store.
     StoreLink {
         instance: usize,
         harm: Harm,
         lasts: Duration,
     },
-    /// The way from all instances to a server is harmed.
+    /// Injects a fault into the link from all instances to a server.
     ServerLink {
         server: usize,
         harm: Harm,
         lasts: Duration,
     },
-    /// The store refuses calls, or never answers them.
+    /// Makes the store refuse calls, or never respond to them.
     Store { is_silent: bool, lasts: Duration },
-    /// The store forgets what is not the newest record of its key.
+    /// Makes the store drop all records except the latest one of each key.
     ForgetHistory,
-    /// A server misbehaves.
+    /// Makes a server misbehave.
     Server {
         server: usize,
         misdeed: Misdeed,
         lasts: Duration,
     },
-    /// A server says that it leaves, is gone, and comes back as another run.
+    /// Registers a server as draining, then replaces it with a new run after `away`.
     Replace { server: usize, away: Duration },
-    /// A server names a limit of requests a second, in tenths of one.
+    /// Makes a server announce a request rate limit, in tenths of a request per second.
     Limit {
         server: usize,
         tenths_per_s: u32,
         lasts: Duration,
     },
-    /// A server says in its answers that it leaves, which nobody can read in the register
-    /// while the store is away; then it is gone, and comes back as another run.
+    /// Makes a server announce in its responses that it leaves, then replaces it with a new run.
+    /// The store may be unavailable meanwhile, so that instances can't read the register.
     Leave {
         server: usize,
         is_store_away: bool,
         lasts: Duration,
     },
-    /// A server rejects all requests and asks for backoff.
+    /// Makes a server reject all requests and request backoff.
     Backoff {
         server: usize,
         backoff: Duration,
         lasts: Duration,
     },
-    /// A new version with one more route.
+    /// Publishes a new configuration version with one more route.
     Configure,
 }
 
-/// What happens to a way.
+/// Fault of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Harm {
-    /// Nothing moves.
+    /// No data passes.
     Cut,
-    /// Connections are closed.
+    /// All connections are closed.
     Reset,
-    /// Connections that are established fall silent for good.
+    /// Established connections stay open but never pass data again.
     Silence,
-    /// Everything takes longer.
+    /// All data is delayed.
     Delay,
 }
 
-/// What a server does wrong.
+/// Misbehaviour of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Misdeed {
     Fails,
@@ -110,77 +110,77 @@
 ];
 const HARMS: [Harm; 4] = [Harm::Cut, Harm::Reset, Harm::Silence, Harm::Delay];
 
-/// Limits that servers name, in tenths of a request a second.
-const LIMITS: [u32; 4] = [0, 5, 10, 40];
-/// Mean time between two limits that servers name.
-const LIMIT_GAP_MS: u64 = 2_500;
-/// Mean time between two series of servers that leave or ask for backoff.
-const SIGNAL_GAP_MS: u64 = 3_000;
+/// Limits that servers announce.
+const LIMITS_TENTHS_PER_S: [u32; 4] = [0, 5, 10, 40];
+/// Mean pause between two series of servers that announce limits.
+const MEAN_LIMIT_GAP_MS: u64 = 2_500;
+/// Mean pause between two series of servers that leave or request backoff.
+const MEAN_SIGNAL_GAP_MS: u64 = 3_000;
 
-/// Draws the faults of `seed`, in their order, each with the time at which it
-/// begins. All end by themselves within a few seconds after `length`.
+/// Draws the faults of `seed`, sorted by their start times. All faults end within a few
+/// seconds after `duration`.
 pub(crate) fn draw(
     seed: u64,
     instances: usize,
     servers: usize,
-    length: Duration,
+    duration: Duration,
 ) -> Vec<(Duration, Fault)> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut faults = Vec::new();
     let mut at_ms = 300;
-    while at_ms < length.as_millis() as u64 {
-        let count = rng.random_range(SERIES);
+    while at_ms < duration.as_millis() as u64 {
+        let count = rng.random_range(SERIES_LENGTH);
         let instance = rng.random_range(0..instances);
         let server = rng.random_range(0..servers);
         let kind = rng.random_range(0..17);
         for _ in 0..count {
-            let fault = draw_one(&mut rng, kind, instance, server);
+            let fault = draw_fault(&mut rng, kind, instance, server);
             faults.push((Duration::from_millis(at_ms), fault));
             at_ms += rng.random_range(20..500);
         }
-        at_ms += rng.random_range(0..2 * GAP_MS);
+        at_ms += rng.random_range(0..2 * MEAN_FAULT_GAP_MS);
     }
-    faults.extend(draw_limits(seed, servers, length));
-    faults.extend(draw_signals(seed, servers, length));
+    faults.extend(draw_limits(seed, servers, duration));
+    faults.extend(draw_signals(seed, servers, duration));
     faults.sort_by_key(|(at, _)| *at);
     faults
 }
 
-/// Draws the servers that name limits, of one series after the other: up to all of a
-/// service at the same time. Drawn apart, so that a seed keeps its other faults.
-fn draw_limits(seed: u64, servers: usize, length: Duration) -> Vec<(Duration, Fault)> {
+/// Draws series of servers that announce limits, up to all servers of a service at once. Uses a
+/// separate generator, so that the other faults of a seed do not depend on the limits.
+fn draw_limits(seed: u64, servers: usize, duration: Duration) -> Vec<(Duration, Fault)> {
     let mut rng = Pcg64Mcg::seed_from_u64(!seed);
     let mut limits = Vec::new();
-    let mut at_ms = rng.random_range(0..LIMIT_GAP_MS);
-    while at_ms < length.as_millis() as u64 {
+    let mut at_ms = rng.random_range(0..MEAN_LIMIT_GAP_MS);
+    while at_ms < duration.as_millis() as u64 {
         let first = rng.random_range(0..servers);
-        let tenths_per_s = LIMITS[rng.random_range(0..LIMITS.len())];
-        for next in 0..rng.random_range(SERIES) as usize {
+        let tenths_per_s = LIMITS_TENTHS_PER_S[rng.random_range(0..LIMITS_TENTHS_PER_S.len())];
+        for offset in 0..rng.random_range(SERIES_LENGTH) as usize {
             let fault = Fault::Limit {
-                server: (first + next) % servers,
+                server: (first + offset) % servers,
                 tenths_per_s,
                 lasts: Duration::from_millis(rng.random_range(500..4_000)),
             };
             limits.push((Duration::from_millis(at_ms), fault));
         }
-        at_ms += rng.random_range(0..2 * LIMIT_GAP_MS);
+        at_ms += rng.random_range(0..2 * MEAN_LIMIT_GAP_MS);
     }
     limits
 }
 
-/// Draws the servers that leave or ask for backoff in their answers, of one series after the
-/// other: up to all of a service at the same time. Drawn apart, as limits are.
-fn draw_signals(seed: u64, servers: usize, length: Duration) -> Vec<(Duration, Fault)> {
+/// Draws series of servers that announce in their responses that they leave or request backoff,
+/// up to all servers of a service at once. Uses a separate generator, as `draw_limits` does.
+fn draw_signals(seed: u64, servers: usize, duration: Duration) -> Vec<(Duration, Fault)> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed.rotate_left(32) ^ 1);
     let mut signals = Vec::new();
-    let mut at_ms = rng.random_range(0..SIGNAL_GAP_MS);
-    while at_ms < length.as_millis() as u64 {
+    let mut at_ms = rng.random_range(0..MEAN_SIGNAL_GAP_MS);
+    while at_ms < duration.as_millis() as u64 {
         let first = rng.random_range(0..servers);
-        let leaves = rng.random_range(0..2) == 0;
+        let is_leave = rng.random_range(0..2) == 0;
         let is_store_away = rng.random_range(0..2) == 0;
-        for next in 0..rng.random_range(SERIES) as usize {
-            let server = (first + next) % servers;
-            let fault = match leaves {
+        for offset in 0..rng.random_range(SERIES_LENGTH) as usize {
+            let server = (first + offset) % servers;
+            let fault = match is_leave {
                 true => Fault::Leave {
                     server,
                     is_store_away,
@@ -194,12 +194,12 @@
             };
             signals.push((Duration::from_millis(at_ms), fault));
         }
-        at_ms += rng.random_range(0..2 * SIGNAL_GAP_MS);
+        at_ms += rng.random_range(0..2 * MEAN_SIGNAL_GAP_MS);
     }
     signals
 }
 
-fn draw_one(rng: &mut Pcg64Mcg, kind: u32, instance: usize, server: usize) -> Fault {
+fn draw_fault(rng: &mut Pcg64Mcg, kind: u32, instance: usize, server: usize) -> Fault {
     let lasts = Duration::from_millis(rng.random_range(100..3_000));
     let harm = HARMS[rng.random_range(0..HARMS.len())];
     match kind {
