--- a/crates/server/src/gateway/attempt.rs
+++ b/crates/server/src/gateway/attempt.rs
@@ -10,7 +10,7 @@
     forwarding::{AttemptEnd, RepeatPolicy, Route, ServerEntry},
     ids::{BackendName, ZoneName},
 };
-use savoryvane_platform::answer::{self, AnswerHead};
+use savoryvane_platform::response::{self, ResponseHead};
 use slog::{info, warn};
 use tokio::time::Instant;
 
@@ -46,7 +46,7 @@
     pub(super) response: Response<Incoming>,
     pub(super) lease: Lease,
     pub(super) server: InFlight,
-    pub(super) head: AnswerHead,
+    pub(super) head: ResponseHead,
 }
 
 /// Counts a request as in flight at a server until its outcome is known.
@@ -202,7 +202,7 @@
     ) -> SendOutcome {
         let Exchange { response, lease } = exchange;
         let status = response.status();
-        let head = answer::decode(status, response.headers());
+        let head = response::decode(status, response.headers());
         self.view.on_response_head(
             &in_flight.server.id,
             in_flight.sent_at_ms,
@@ -215,7 +215,7 @@
             in_flight.finish(ServerOutcome::Failing);
             return SendOutcome::Ended(AttemptEnd::Lost, None);
         }
-        if status.is_success() && head.has_events {
+        if status.is_success() && head.is_event_stream {
             return SendOutcome::Stream(Box::new(Stream {
                 response,
                 lease,
@@ -234,7 +234,7 @@
             }
         };
         return_to_pool(lease, &head);
-        parts.headers = answer::forward(&parts.headers);
+        parts.headers = response::forward(&parts.headers);
         let response = Response::from_parts(parts, body);
         if head.is_not_run {
             in_flight.finish(ServerOutcome::Full);
@@ -260,7 +260,7 @@
 }
 
 /// Returns a connection to the pool after its response was read.
-pub(super) fn return_to_pool(lease: Lease, head: &AnswerHead) {
+pub(super) fn return_to_pool(lease: Lease, head: &ResponseHead) {
     let limit = head
         .keep_alive_s
         .map_or(Duration::MAX, Duration::from_secs)
@@ -272,7 +272,7 @@
 fn response_fault(
     caller: &CallerRequest,
     status: StatusCode,
-    head: &AnswerHead,
+    head: &ResponseHead,
 ) -> Option<&'static str> {
     if head.id.as_ref().is_some_and(|id| *id != caller.id) {
         return Some("it responds to another request");
--- a/crates/server/src/gateway/local_reply.rs
+++ b/crates/server/src/gateway/local_reply.rs
@@ -144,7 +144,7 @@
         _ => format!("{}\n", reason.as_str()),
     };
     let mut response = http_body::with_type(reason.status(), "text/plain", text);
-    request::put_own_answer(response.headers_mut(), id, reason.retry_after_ms());
+    request::insert_local_reply_headers(response.headers_mut(), id, reason.retry_after_ms());
     if reason == FailureReason::BadBody
         || reason == FailureReason::SlowBody
         || reason == FailureReason::LargeBody
--- a/crates/server/src/gateway/quarantine_store.rs
+++ b/crates/server/src/gateway/quarantine_store.rs
@@ -115,7 +115,7 @@
         };
         let mut stored: Vec<StoredCrashes> = Vec::new();
         for record in &records {
-            match quarantine::decode_kept(record) {
+            match quarantine::decode_crashes(record) {
                 Ok(kept) => stored.extend(kept),
                 Err(err) => {
                     warn!(self.log, "invalid quarantine entry"; "key" => &record.key,
@@ -147,6 +147,6 @@
     }
 
     async fn write(&self, stored: &StoredCrashes) -> Result<()> {
-        self.store.write(quarantine::write_kept(stored)?).await
+        self.store.write(quarantine::write_crashes(stored)?).await
     }
 }
--- a/crates/server/src/gateway/relay.rs
+++ b/crates/server/src/gateway/relay.rs
@@ -18,7 +18,7 @@
 use http_body_util::BodyExt;
 use hyper::body::{Frame, Incoming};
 use savoryvane_core::{forwarding::event_timeout_ms, ids::BackendName};
-use savoryvane_platform::answer;
+use savoryvane_platform::response;
 use slog::{info, warn};
 use tokio::{
     sync::mpsc,
@@ -49,7 +49,7 @@
 ) -> Response<Body> {
     let (sender, frames) = mpsc::channel(FRAME_BUFFER_LEN);
     let (mut parts, body) = stream.response.into_parts();
-    parts.headers = answer::forward(&parts.headers);
+    parts.headers = response::forward(&parts.headers);
     parts.headers.remove(http::header::CONTENT_LENGTH);
     let events = EventSplitter::new(caller.is_resumable());
     let relay = Relay {
@@ -94,7 +94,7 @@
     body: Incoming,
     lease: Option<Lease>,
     server: Option<InFlight>,
-    head: answer::AnswerHead,
+    head: response::ResponseHead,
 }
 
 struct Relay {
--- a/crates/server/src/gateway/request.rs
+++ b/crates/server/src/gateway/request.rs
@@ -10,7 +10,7 @@
     ids::{BackendName, PoolName, RequestId},
     poison::RequestDigest,
 };
-use savoryvane_platform::request::{self, Forwarded, RequestHead};
+use savoryvane_platform::request::{self, ForwardedRequest, RequestHead};
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -73,7 +73,7 @@
         inputs: &[String],
         last_event: Option<&str>,
     ) -> Request<Full<Bytes>> {
-        let forwarded = Forwarded {
+        let forwarded = ForwardedRequest {
             left_ms: self.time_left().as_millis() as u64,
             server,
             workspace: self.matched.workspace.as_ref(),
--- a/crates/server/src/gateway/signals.rs
+++ b/crates/server/src/gateway/signals.rs
@@ -7,7 +7,7 @@
     ids::{BackendName, RequestId},
     stages::CallId,
 };
-use savoryvane_platform::answer::AnswerHead;
+use savoryvane_platform::response::ResponseHead;
 use slog::{info, warn};
 
 use super::routing_view::RoutingView;
@@ -41,7 +41,7 @@
 impl ResponseTo<'_> {
     /// Returns whether a response belongs to the request or call, as far as its head
     /// shows.
-    fn matches(self, head: &AnswerHead) -> bool {
+    fn matches(self, head: &ResponseHead) -> bool {
         match (self, &head.id) {
             (Self::Request(id), Some(responds_to)) => id == responds_to,
             (Self::Request(_) | Self::Call(_) | Self::Free, _) => true,
@@ -71,9 +71,9 @@
         server: &BackendName,
         sent_at_ms: u64,
         responds_to: ResponseTo<'_>,
-        head: &AnswerHead,
+        head: &ResponseHead,
     ) {
-        self.log_unknown_headers(server, &head.unknown);
+        self.log_unknown_headers(server, &head.unknown_headers);
         if head.is_misdirected {
             // Another run has the address, and its signals describe that run.
             self.on_leaving(server, "another run at its address");
@@ -87,7 +87,7 @@
         server: &BackendName,
         sent_at_ms: u64,
         responds_to: ResponseTo<'_>,
-        head: &AnswerHead,
+        head: &ResponseHead,
     ) {
         let signals = head.signals;
         match signals.departure {
--- a/crates/server/src/gateway/stage_calls.rs
+++ b/crates/server/src/gateway/stage_calls.rs
@@ -12,7 +12,7 @@
     stages::{CallOutcome, ItemInput, ItemOutcome, StageCall},
 };
 use savoryvane_platform::{
-    answer::{self, AnswerHead},
+    response::{self as server_response, ResponseHead},
     stages,
 };
 use slog::{Logger, info, warn};
@@ -206,12 +206,12 @@
         path: &str,
         body: Vec<u8>,
         timeout: Duration,
-    ) -> Result<(AnswerHead, http::Response<Bytes>), SendError> {
+    ) -> Result<(ResponseHead, http::Response<Bytes>), SendError> {
         let mut request = request(Method::POST, to.addr, path, body.into());
         request.headers_mut().extend(stages::headers(to.server));
         let sent_at_ms = self.view.now_ms();
         let on_head = |head: &response::Parts| {
-            let head = answer::decode(head.status, &head.headers);
+            let head = server_response::decode(head.status, &head.headers);
             self.view
                 .on_response_head(to.server, sent_at_ms, to.responds_to, &head);
             head
--- a/crates/server/src/gateway/store.rs
+++ b/crates/server/src/gateway/store.rs
@@ -11,7 +11,7 @@
 use http::StatusCode;
 use quick_error::quick_error;
 use savoryvane_core::forwarding::{Position, StoreRetry, StoreRole};
-use savoryvane_platform::store::{self, Call, InstanceRecord, Page, Read, Record, Topic};
+use savoryvane_platform::store::{self, Call, InstanceRecord, Page, ReadResponse, Record, Topic};
 use tokio::time;
 
 use crate::{
@@ -184,8 +184,10 @@
             return Ok(ReadOutcome::Trimmed);
         }
         match store::decode_read(from.offset, response.status, &response.body)? {
-            Read::Records { next, records, .. } => Ok(ReadOutcome::Records { records, next }),
-            Read::Trimmed => Ok(ReadOutcome::Trimmed),
+            ReadResponse::Records { next, records, .. } => {
+                Ok(ReadOutcome::Records { records, next })
+            }
+            ReadResponse::Trimmed => Ok(ReadOutcome::Trimmed),
         }
     }
 
