--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -15,7 +15,7 @@
 use http_body_util::Full;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use savoryvane_platform_standin::{ECHO, ENDS_SERVER};
+use savoryvane_platform_standin::{CRASH_TRIGGER, ECHO_HEADER};
 use tokio::time::{self, Instant};
 
 use crate::{
@@ -134,7 +134,7 @@
             _ => format!("/{}/{id}", kind.prefix()),
         };
         let body = match kind {
-            Kind::Poison => ENDS_SERVER.to_owned(),
+            Kind::Poison => CRASH_TRIGGER.to_owned(),
             _ if kind.method() == "GET" => String::new(),
             _ => format!("body of {id}"),
         };
@@ -223,7 +223,7 @@
         .header("request-id", id)
         .header("deadline-ms", DEADLINE_MS.to_string())
         .header("x-api-key", KEY)
-        .header(ECHO, id);
+        .header(ECHO_HEADER, id);
     if kind == Kind::Staged {
         request = request.header("pieces", "1,3").header("piece-key", id);
     }
--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -46,7 +46,7 @@
     pub(crate) fn usual(&self) -> Behaviour {
         match self.service {
             "engine" => Behaviour::Streams(EVENTS),
-            _ => Behaviour::Good,
+            _ => Behaviour::Healthy,
         }
     }
 
--- a/crates/soak/src/presses.rs
+++ b/crates/soak/src/presses.rs
@@ -22,8 +22,8 @@
         zone: FIRST_ZONE,
         behaviour: Behaviour::Streams(EVENTS),
         count: 6,
-        restarts_after: Duration::from_millis(700),
-        lapses_after: Duration::from_millis(1_500),
+        restart_delay: Duration::from_millis(700),
+        expiry_delay: Duration::from_millis(1_500),
     };
     RestartingServers::start(store, settings).await
 }
@@ -38,6 +38,6 @@
             return;
         }
         time::sleep(gap).await;
-        servers.end_some(rng.random_range(1..=MOST_CRASHED));
+        servers.crash_some(rng.random_range(1..=MOST_CRASHED));
     }
 }
--- a/crates/soak/src/promises.rs
+++ b/crates/soak/src/promises.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use savoryvane_platform_standin::{Seen, TORN_EVENT};
+use savoryvane_platform_standin::{PARTIAL_EVENT, ReceivedRequest};
 use tokio::time::Instant;
 
 use crate::{
@@ -63,7 +63,7 @@
     asked: &'a [Asked],
     by_id: HashMap<&'a str, &'a Asked>,
     /// What servers ran: service and request.
-    ran: Vec<(&'static str, Seen)>,
+    ran: Vec<(&'static str, ReceivedRequest)>,
     runs: HashMap<String, usize>,
 }
 
@@ -75,7 +75,7 @@
         ran.extend(
             server
                 .standin
-                .ran()
+                .executed()
                 .into_iter()
                 .map(|s| (server.service, s)),
         );
@@ -83,7 +83,7 @@
     ran.extend(
         deployment
             .presses
-            .ran()
+            .executed()
             .into_iter()
             .map(|seen| (PRESS, seen)),
     );
@@ -118,7 +118,7 @@
     broken
 }
 
-pub(crate) fn id_of(seen: &Seen) -> &str {
+pub(crate) fn id_of(seen: &ReceivedRequest) -> &str {
     seen.header("request-id").unwrap_or_default()
 }
 
@@ -196,7 +196,7 @@
     /// Results of stages go to the request that they were made for, all of them.
     fn inputs_of_the_same_request(&self, broken: &mut Vec<String>) {
         let servers = self.deployment.servers.iter();
-        let made = servers.flat_map(|server| server.standin.made());
+        let made = servers.flat_map(|server| server.standin.stage_results());
         let made: HashMap<String, _> = made.map(|made| (made.handle.clone(), made)).collect();
         for (_, seen) in &self.ran {
             let id = id_of(seen);
@@ -250,18 +250,18 @@
 
     fn repeats_within_budget(&self, broken: &mut Vec<String>) {
         for (service, _) in SERVICES {
-            let mut ran: Vec<&Seen> = self
+            let mut ran: Vec<&ReceivedRequest> = self
                 .ran
                 .iter()
                 .filter(|(name, _)| *name == service)
                 .map(|(_, seen)| seen)
                 .collect();
-            ran.sort_by_key(|seen| seen.at);
+            ran.sort_by_key(|seen| seen.received_at);
             let mut seen_ids = HashSet::new();
             let repeats: Vec<Instant> = ran
                 .iter()
                 .filter(|seen| !seen_ids.insert(id_of(seen)))
-                .map(|seen| seen.at)
+                .map(|seen| seen.received_at)
                 .collect();
             for end in &repeats {
                 let from = *end - BUDGET_WINDOW;
@@ -303,7 +303,7 @@
     /// else is refused for that.
     fn ends_are_counted(&self, calm: &Calm, broken: &mut Vec<String>) {
         let ended = self.ran.iter().filter(|(service, seen)| {
-            *service == PRESS && seen.path == POISON_PATH && seen.at >= calm.began_at
+            *service == PRESS && seen.path == POISON_PATH && seen.received_at >= calm.began_at
         });
         let ended = ended.count();
         if ended > MOST_ENDS {
@@ -354,8 +354,10 @@
 
     fn left_alone(&self, calm: &Calm, broken: &mut Vec<String>) {
         let server = &self.deployment.servers[calm.leaving];
-        let ran = server.standin.ran();
-        let late = ran.iter().filter(|seen| seen.at > calm.left_alone_from);
+        let ran = server.standin.executed();
+        let late = ran
+            .iter()
+            .filter(|seen| seen.received_at > calm.left_alone_from);
         for seen in late {
             let id = id_of(seen);
             broken.push(format!("{} got {id} although it is leaving", server.id()));
@@ -365,7 +367,11 @@
     /// A server that names a limit gets no more, until an instance is stopped.
     fn within_limit(&self, calm: &Calm, broken: &mut Vec<String>) {
         let server = &self.deployment.servers[calm.limited];
-        let ran = server.standin.ran().into_iter().map(|seen| seen.at);
+        let ran = server
+            .standin
+            .executed()
+            .into_iter()
+            .map(|seen| seen.received_at);
         let ran: Vec<Instant> = ran
             .filter(|at| (calm.began_at..calm.stopped_at).contains(at))
             .collect();
@@ -402,7 +408,9 @@
 /// sent last; of a stream that may be resumed no torn event is passed on.
 fn without_torn(kind: Kind, body: &str) -> &str {
     match kind {
-        Kind::Draft | Kind::Staged | Kind::Print => body.strip_suffix(TORN_EVENT).unwrap_or(body),
+        Kind::Draft | Kind::Staged | Kind::Print => {
+            body.strip_suffix(PARTIAL_EVENT).unwrap_or(body)
+        }
         _ => body,
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use http::{Request, request};
 use http_body_util::Full;
-use savoryvane_platform_standin::{Behaviour, ENDS_SERVER, Fault as StoreFault};
+use savoryvane_platform_standin::{Behaviour, CRASH_TRIGGER, Fault as StoreFault};
 use savoryvane_standins::LinkFaults;
 use tokio::{
     task::JoinSet,
@@ -282,8 +282,8 @@
             Ok(())
         }
         Fault::ForgetHistory => {
-            deployment.store.forget_history("keyed.op");
-            deployment.store.forget_history("keyed.servers");
+            deployment.store.trim_history("keyed.op");
+            deployment.store.trim_history("keyed.servers");
             Ok(())
         }
         Fault::Server {
@@ -340,7 +340,7 @@
             let ends = Instant::now() + lasts;
             let server = &deployment.servers[server];
             let retry_after_s = backoff.as_secs_f64().to_string();
-            server.standin.ask_for_backoff(&retry_after_s);
+            server.standin.request_backoff(&retry_after_s);
             if callers.sabotage == Some(Sabotage::OverBackoff) {
                 press_on(deployment, server.standin.addr).await;
             }
@@ -413,14 +413,14 @@
     match misdeed {
         Misdeed::Fails => Behaviour::Failing,
         Misdeed::IsFull => Behaviour::Full,
-        Misdeed::LosesAnswers => Behaviour::LosesAnswer,
+        Misdeed::LosesAnswers => Behaviour::DropsResponse,
         Misdeed::IsSilent => Behaviour::Silent,
-        Misdeed::AnswersAnother => Behaviour::AnswersAnother,
+        Misdeed::AnswersAnother => Behaviour::MismatchedResponse,
         Misdeed::Unsigned => Behaviour::Unsigned,
-        Misdeed::BreaksStreams if streams => Behaviour::StreamsThenBreaks(3),
-        Misdeed::SilencesStreams if streams => Behaviour::StreamsThenSilent(3),
+        Misdeed::BreaksStreams if streams => Behaviour::StreamsThenAborts(3),
+        Misdeed::SilencesStreams if streams => Behaviour::StreamsThenStalls(3),
         Misdeed::BreaksOff | Misdeed::BreaksStreams | Misdeed::SilencesStreams => {
-            Behaviour::BreaksOff
+            Behaviour::TruncatesResponse
         }
     }
 }
@@ -513,12 +513,12 @@
 /// Ends servers by requests that no instance has counted.
 async fn end_presses(deployment: &Deployment) {
     for _ in 0..6 {
-        let Some(addr) = deployment.presses.running() else {
+        let Some(addr) = deployment.presses.running_addr() else {
             return;
         };
         if let Ok(mut connection) = client::connect(addr).await {
             let request = Request::post(POISON_PATH);
-            send_directly(&mut connection, request, "r1", ENDS_SERVER).await;
+            send_directly(&mut connection, request, "r1", CRASH_TRIGGER).await;
         }
     }
 }
--- a/crates/soak/src/signals.rs
+++ b/crates/soak/src/signals.rs
@@ -3,7 +3,7 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use savoryvane_platform_standin::Seen;
+use savoryvane_platform_standin::ReceivedRequest;
 use tokio::time::Instant;
 
 use crate::{
@@ -45,7 +45,7 @@
                     let frozen = Disturbed::Instance(asked.instance);
                     let disturbances = &self.deployment.disturbances;
                     asked.sent_at > since + DRAINS_WITHIN
-                        && !disturbances.overlap(frozen, since, seen.at)
+                        && !disturbances.overlap(frozen, since, seen.received_at)
                 });
                 if is_late {
                     let (id, instance) = (&asked.id, asked.instance);
@@ -88,10 +88,10 @@
                 let disturbances = &self.deployment.disturbances;
                 let is_excused = [Disturbed::Instance(boot.0), Disturbed::ServerLink(index)]
                     .into_iter()
-                    .any(|disturbed| disturbances.overlap(disturbed, first.at, until));
-                let from = first.at + SETTLES_WITHIN;
+                    .any(|disturbed| disturbances.overlap(disturbed, first.received_at, until));
+                let from = first.received_at + SETTLES_WITHIN;
                 let within = arrived.iter().filter(|seen| {
-                    (from..until).contains(&seen.at) && self.boot_of(seen) == Some(boot)
+                    (from..until).contains(&seen.received_at) && self.boot_of(seen) == Some(boot)
                 });
                 let count = within.count();
                 if count > MAX_IN_BACKOFF && !is_excused {
@@ -107,15 +107,15 @@
     }
 
     /// Returns the instance that a rejected request asks for backoff, and until when.
-    fn backoff(&self, seen: &Seen) -> Option<(Boot, Instant)> {
+    fn backoff(&self, seen: &ReceivedRequest) -> Option<(Boot, Instant)> {
         let backoff_s: f64 = seen.retry_after.as_ref()?.parse().ok()?;
-        let until = seen.at + Duration::from_secs_f64(backoff_s);
+        let until = seen.received_at + Duration::from_secs_f64(backoff_s);
         Some((self.boot_of(seen)?, until))
     }
 
     /// Returns the run of the instance that sent a request; none for calls with pieces, which
     /// another instance may have made.
-    fn boot_of(&self, seen: &Seen) -> Option<Boot> {
+    fn boot_of(&self, seen: &ReceivedRequest) -> Option<Boot> {
         let asked = self.by_id.get(id_of(seen))?;
         Some((asked.instance, asked.boot))
     }
