--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -45,7 +45,7 @@
     pub(crate) fn default_behaviour(&self) -> Behaviour {
         match self.service {
             "engine" => Behaviour::Streams(EVENTS_PER_STREAM),
-            _ => Behaviour::Good,
+            _ => Behaviour::Healthy,
         }
     }
 
--- a/crates/soak/src/promises.rs
+++ b/crates/soak/src/promises.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use savoryvane_platform_standin::{Seen, TORN_EVENT};
+use savoryvane_platform_standin::{PARTIAL_EVENT, ReceivedRequest};
 use tokio::time::Instant;
 
 use crate::{
@@ -64,7 +64,7 @@
     records: &'a [RequestRecord],
     by_id: HashMap<&'a str, &'a RequestRecord>,
     /// Executed requests with the services of their servers.
-    executions: Vec<(&'static str, Seen)>,
+    executions: Vec<(&'static str, ReceivedRequest)>,
     runs: HashMap<String, usize>,
 }
 
@@ -76,7 +76,7 @@
         executions.extend(
             server
                 .standin
-                .ran()
+                .executed()
                 .into_iter()
                 .map(|s| (server.service, s)),
         );
@@ -84,7 +84,7 @@
     executions.extend(
         deployment
             .press_servers
-            .ran()
+            .executed()
             .into_iter()
             .map(|seen| (PRESS_SERVICE, seen)),
     );
@@ -122,7 +122,7 @@
     violations
 }
 
-pub(crate) fn id_of(seen: &Seen) -> &str {
+pub(crate) fn id_of(seen: &ReceivedRequest) -> &str {
     seen.header("request-id").unwrap_or_default()
 }
 
@@ -208,7 +208,7 @@
     /// Checks that a request receives all stage results that were made for it, and no others.
     fn inputs_belong_to_request(&self, violations: &mut Vec<String>) {
         let servers = self.deployment.servers.iter();
-        let made = servers.flat_map(|server| server.standin.made());
+        let made = servers.flat_map(|server| server.standin.stage_results());
         let made: HashMap<String, _> = made.map(|made| (made.handle.clone(), made)).collect();
         for (_, seen) in &self.executions {
             let id = id_of(seen);
@@ -269,18 +269,18 @@
 
     fn retries_stay_within_budget(&self, violations: &mut Vec<String>) {
         for (service, _) in SERVICES {
-            let mut executions: Vec<&Seen> = self
+            let mut executions: Vec<&ReceivedRequest> = self
                 .executions
                 .iter()
                 .filter(|(name, _)| *name == service)
                 .map(|(_, seen)| seen)
                 .collect();
-            executions.sort_by_key(|seen| seen.at);
+            executions.sort_by_key(|seen| seen.received_at);
             let mut seen_ids = HashSet::new();
             let retries: Vec<Instant> = executions
                 .iter()
                 .filter(|seen| !seen_ids.insert(id_of(seen)))
-                .map(|seen| seen.at)
+                .map(|seen| seen.received_at)
                 .collect();
             for end in &retries {
                 let from = *end - RETRY_BUDGET_WINDOW;
@@ -324,7 +324,9 @@
     /// again, and that no other request is refused as a poison request.
     fn crashes_are_bounded(&self, calm: &CalmPhase, violations: &mut Vec<String>) {
         let ended = self.executions.iter().filter(|(service, seen)| {
-            *service == PRESS_SERVICE && seen.path == POISON_PATH && seen.at >= calm.started_at
+            *service == PRESS_SERVICE
+                && seen.path == POISON_PATH
+                && seen.received_at >= calm.started_at
         });
         let ended = ended.count();
         if ended > MAX_CRASHES_PER_REQUEST {
@@ -389,8 +391,10 @@
 
     fn leaving_server_is_drained(&self, calm: &CalmPhase, violations: &mut Vec<String>) {
         let server = &self.deployment.servers[calm.leaving_server];
-        let executions = server.standin.ran();
-        let late = executions.iter().filter(|seen| seen.at > calm.drained_from);
+        let executions = server.standin.executed();
+        let late = executions
+            .iter()
+            .filter(|seen| seen.received_at > calm.drained_from);
         for seen in late {
             let id = id_of(seen);
             violations.push(format!(
@@ -404,7 +408,11 @@
     /// instance is stopped.
     fn limit_is_respected(&self, calm: &CalmPhase, violations: &mut Vec<String>) {
         let server = &self.deployment.servers[calm.limited_server];
-        let executions = server.standin.ran().into_iter().map(|seen| seen.at);
+        let executions = server
+            .standin
+            .executed()
+            .into_iter()
+            .map(|seen| seen.received_at);
         let executions: Vec<Instant> = executions
             .filter(|at| (calm.started_at..calm.stopped_at).contains(at))
             .collect();
@@ -447,7 +455,9 @@
 /// Partial events of resumable streams are never forwarded, so those bodies stay unchanged.
 fn strip_torn_event(kind: Kind, body: &str) -> &str {
     match kind {
-        Kind::Draft | Kind::Staged | Kind::Print => body.strip_suffix(TORN_EVENT).unwrap_or(body),
+        Kind::Draft | Kind::Staged | Kind::Print => {
+            body.strip_suffix(PARTIAL_EVENT).unwrap_or(body)
+        }
         _ => body,
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use http::{Request, request};
 use http_body_util::Full;
-use savoryvane_platform_standin::{Behaviour, ENDS_SERVER, Fault as StoreFault};
+use savoryvane_platform_standin::{Behaviour, CRASH_TRIGGER, Fault as StoreFault};
 use savoryvane_standins::LinkFaults;
 use tokio::{
     task::JoinSet,
@@ -286,8 +286,8 @@
             Ok(())
         }
         Fault::ForgetHistory => {
-            deployment.store.forget_history("keyed.op");
-            deployment.store.forget_history("keyed.servers");
+            deployment.store.trim_history("keyed.op");
+            deployment.store.trim_history("keyed.servers");
             Ok(())
         }
         Fault::Server {
@@ -344,7 +344,7 @@
             let ends_at = Instant::now() + lasts;
             let server = &deployment.servers[server];
             let retry_after_s = backoff.as_secs_f64().to_string();
-            server.standin.ask_for_backoff(&retry_after_s);
+            server.standin.request_backoff(&retry_after_s);
             if callers.sabotage == Some(Sabotage::OverBackoff) {
                 send_during_backoff(deployment, server.standin.addr).await;
             }
@@ -417,14 +417,14 @@
     match misdeed {
         Misdeed::Fails => Behaviour::Failing,
         Misdeed::IsFull => Behaviour::Full,
-        Misdeed::LosesAnswers => Behaviour::LosesAnswer,
+        Misdeed::LosesAnswers => Behaviour::DropsResponse,
         Misdeed::IsSilent => Behaviour::Silent,
-        Misdeed::AnswersAnother => Behaviour::AnswersAnother,
+        Misdeed::AnswersAnother => Behaviour::MismatchedResponse,
         Misdeed::Unsigned => Behaviour::Unsigned,
-        Misdeed::BreaksStreams if is_stream_service => Behaviour::StreamsThenBreaks(3),
-        Misdeed::SilencesStreams if is_stream_service => Behaviour::StreamsThenSilent(3),
+        Misdeed::BreaksStreams if is_stream_service => Behaviour::StreamsThenAborts(3),
+        Misdeed::SilencesStreams if is_stream_service => Behaviour::StreamsThenStalls(3),
         Misdeed::BreaksOff | Misdeed::BreaksStreams | Misdeed::SilencesStreams => {
-            Behaviour::BreaksOff
+            Behaviour::TruncatesResponse
         }
     }
 }
@@ -520,12 +520,12 @@
 /// Crashes press servers with requests that no instance has counted.
 async fn crash_press_servers(deployment: &Deployment) {
     for _ in 0..6 {
-        let Some(addr) = deployment.press_servers.running() else {
+        let Some(addr) = deployment.press_servers.running_addr() else {
             return;
         };
         if let Ok(mut connection) = client::connect(addr).await {
             let request = Request::post(POISON_PATH);
-            send_directly(&mut connection, request, "r1", ENDS_SERVER).await;
+            send_directly(&mut connection, request, "r1", CRASH_TRIGGER).await;
         }
     }
 }
--- a/crates/soak/src/signals.rs
+++ b/crates/soak/src/signals.rs
@@ -3,7 +3,7 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use savoryvane_platform_standin::Seen;
+use savoryvane_platform_standin::ReceivedRequest;
 use tokio::time::Instant;
 
 use crate::{
@@ -46,7 +46,7 @@
                     let target = DisturbanceTarget::Instance(record.instance);
                     let disturbances = &self.deployment.disturbances;
                     record.sent_at > since + DRAIN_BOUND
-                        && !disturbances.overlaps(target, since, seen.at)
+                        && !disturbances.overlaps(target, since, seen.received_at)
                 });
                 if is_late {
                     let (id, instance) = (&record.id, record.instance);
@@ -95,10 +95,10 @@
                     DisturbanceTarget::ServerLink(index),
                 ]
                 .into_iter()
-                .any(|target| disturbances.overlaps(target, first.at, until));
-                let from = first.at + BACKOFF_REACTION_BOUND;
+                .any(|target| disturbances.overlaps(target, first.received_at, until));
+                let from = first.received_at + BACKOFF_REACTION_BOUND;
                 let in_backoff = arrived.iter().filter(|seen| {
-                    (from..until).contains(&seen.at)
+                    (from..until).contains(&seen.received_at)
                         && self.instance_run_of(seen) == Some(instance_run)
                 });
                 let count = in_backoff.count();
@@ -116,15 +116,15 @@
 
     /// Returns the instance run that the rejection of a request asks to back off, and the end of
     /// the backoff.
-    fn backoff(&self, seen: &Seen) -> Option<(InstanceRun, Instant)> {
+    fn backoff(&self, seen: &ReceivedRequest) -> Option<(InstanceRun, Instant)> {
         let backoff_s: f64 = seen.retry_after.as_ref()?.parse().ok()?;
-        let until = seen.at + Duration::from_secs_f64(backoff_s);
+        let until = seen.received_at + Duration::from_secs_f64(backoff_s);
         Some((self.instance_run_of(seen)?, until))
     }
 
     /// Returns the instance run that sent a request, or `None` for calls with pieces, which
     /// another instance may have made.
-    fn instance_run_of(&self, seen: &Seen) -> Option<InstanceRun> {
+    fn instance_run_of(&self, seen: &ReceivedRequest) -> Option<InstanceRun> {
         let record = self.by_id.get(id_of(seen))?;
         Some((record.instance, record.start_number))
     }
