--- a/crates/server/src/crashes.rs
+++ b/crates/server/src/crashes.rs
@@ -141,7 +141,7 @@
         shared
             .members
             .peers()
-            .send_all(&Message::Ends(vec![record]));
+            .send_all(&Message::CrashReports(vec![record]));
     }
 }
 
@@ -152,7 +152,10 @@
     if was_suspect {
         info!(shared.log, "suspect cleared"; "digest" => %digest, "reason" => "answered");
         let records = shared.ends.tracker().records(now_ms, &digest);
-        shared.members.peers().send_all(&Message::Ends(records));
+        shared
+            .members
+            .peers()
+            .send_all(&Message::CrashReports(records));
     }
 }
 
@@ -162,7 +165,10 @@
     let has_changed = shared.ends.tracker().on_reports(now_ms, records.clone());
     if has_changed {
         info!(shared.log, "crashes advertised"; "ends" => records.len(), "source" => "peer");
-        shared.members.peers().send_all(&Message::Ends(records));
+        shared
+            .members
+            .peers()
+            .send_all(&Message::CrashReports(records));
     }
 }
 
@@ -193,7 +199,7 @@
         let reports = shared.ends.tracker().reports_since(now_ms, sent_revision);
         sent_revision = reports.revision;
         if !reports.records.is_empty() {
-            send(Message::Ends(reports.records));
+            send(Message::CrashReports(reports.records));
         }
     }
 }
