--- a/crates/server/src/gateway/crashes.rs
+++ b/crates/server/src/gateway/crashes.rs
@@ -140,7 +140,7 @@
                 "started_ms" => lost.server.started_ms, "service" => %lost.server.service,
                 "others" => others, "evidence" => evidence.as_str(), "ends" => crash_count);
         }
-        suspects::count_end(evidence);
+        suspects::count_crash(evidence);
         self.watch(lost, Some(evidence));
         self.quarantine.report().await;
     }
@@ -165,7 +165,7 @@
     async fn probe(&self, server: &ServerEntry) -> (Probe, Probe) {
         let neighbours = || {
             let directory = self.view.directory();
-            let neighbours = directory.same_zone_servers(server, probing::NEIGHBOURS);
+            let neighbours = directory.same_zone_servers(server, probing::MAX_NEIGHBOURS);
             neighbours.into_iter().map(|other| other.addr).collect()
         };
         probing::probe(&self.servers, server.addr, neighbours).await
