--- a/crates/server/src/admin/failure.rs
+++ b/crates/server/src/admin/failure.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     confirm::ConfirmError,
-    http_body::{self, Body, BodyFault},
+    http_body::{self, Body, BodyError},
     instance::Shared,
 };
 
@@ -33,20 +33,20 @@
     }
 }
 
-impl From<BodyFault> for Failure {
-    fn from(fault: BodyFault) -> Self {
+impl From<BodyError> for Failure {
+    fn from(fault: BodyError) -> Self {
         match fault {
-            BodyFault::TooLarge => Self::new(
+            BodyError::TooLarge => Self::new(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "the body is too large",
                 "split the intent",
             ),
-            BodyFault::TooSlow => Self::new(
+            BodyError::TooSlow => Self::new(
                 StatusCode::REQUEST_TIMEOUT,
                 "the body did not arrive in time",
                 "send it again",
             ),
-            BodyFault::Broken => Self::new(
+            BodyError::Broken => Self::new(
                 StatusCode::BAD_REQUEST,
                 "the body broke off",
                 "send it again",
--- a/crates/server/src/caller.rs
+++ b/crates/server/src/caller.rs
@@ -18,7 +18,7 @@
 };
 use crate::{
     controller, credential,
-    http_body::{self, Body, BodyFault},
+    http_body::{self, Body, BodyError},
     instance::Shared,
     phase::Phase,
     refusal::Refusal,
@@ -143,10 +143,10 @@
     Ok(http_body::json(StatusCode::CREATED, &ticket))
 }
 
-fn body_refusal(fault: BodyFault) -> Refusal {
+fn body_refusal(fault: BodyError) -> Refusal {
     match fault {
-        BodyFault::TooLarge => Refusal::LargeBody,
-        BodyFault::TooSlow => Refusal::SlowBody,
-        BodyFault::Broken => Refusal::BadBody,
+        BodyError::TooLarge => Refusal::LargeBody,
+        BodyError::TooSlow => Refusal::SlowBody,
+        BodyError::Broken => Refusal::BadBody,
     }
 }
--- a/crates/server/src/gateway/local_reply.rs
+++ b/crates/server/src/gateway/local_reply.rs
@@ -4,7 +4,7 @@
 use savoryvane_core::{forwarding::Unroutable, ids::RequestId, stages::Refusal};
 use savoryvane_platform::request;
 
-use crate::http_body::{self, Body, BodyFault};
+use crate::http_body::{self, Body, BodyError};
 
 /// `Retry-After` while the instance starts, in ms: it learns the routes within a few
 /// store calls.
@@ -127,12 +127,12 @@
     }
 }
 
-impl From<BodyFault> for FailureReason {
-    fn from(fault: BodyFault) -> Self {
+impl From<BodyError> for FailureReason {
+    fn from(fault: BodyError) -> Self {
         match fault {
-            BodyFault::TooLarge => Self::LargeBody,
-            BodyFault::TooSlow => Self::SlowBody,
-            BodyFault::Broken => Self::BadBody,
+            BodyError::TooLarge => Self::LargeBody,
+            BodyError::TooSlow => Self::SlowBody,
+            BodyError::Broken => Self::BadBody,
         }
     }
 }
--- a/crates/server/src/http_body.rs
+++ b/crates/server/src/http_body.rs
@@ -20,7 +20,7 @@
 
 /// Why the body of a request was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum BodyFault {
+pub(crate) enum BodyError {
     /// It is larger than allowed.
     TooLarge,
     /// It did not arrive in time.
@@ -34,7 +34,7 @@
     body: Incoming,
     max_bytes: u64,
     timeout: Duration,
-) -> Result<Bytes, BodyFault> {
+) -> Result<Bytes, BodyError> {
     read_with(body, max_bytes, timeout, |_| {}).await
 }
 
@@ -44,7 +44,7 @@
     max_bytes: u64,
     timeout: Duration,
     mut on_part: impl FnMut(&[u8]),
-) -> Result<Bytes, BodyFault> {
+) -> Result<Bytes, BodyError> {
     let body = body.map_frame(|frame| {
         frame.data_ref().into_iter().for_each(|part| on_part(part));
         frame
@@ -52,10 +52,10 @@
     let max_bytes = usize::try_from(max_bytes).unwrap_or(usize::MAX);
     let whole = time::timeout(timeout, Limited::new(body, max_bytes).collect());
     match whole.await {
-        Err(_) => Err(BodyFault::TooSlow),
+        Err(_) => Err(BodyError::TooSlow),
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(err)) if err.is::<LengthLimitError>() => Err(BodyFault::TooLarge),
-        Ok(Err(_)) => Err(BodyFault::Broken),
+        Ok(Err(err)) if err.is::<LengthLimitError>() => Err(BodyError::TooLarge),
+        Ok(Err(_)) => Err(BodyError::Broken),
     }
 }
 
