--- a/crates/server/src/connections.rs
+++ b/crates/server/src/connections.rs
@@ -200,10 +200,10 @@
             .await;
         match (sent, gate) {
             // Once shut, a write that is still on its way does not happen.
-            (Err(SendError::Sent(reason)), Some(gate)) if !gate.shut() => {
+            (Err(SendError::Sent(reason)), Some(gate)) if !gate.close() => {
                 Err(SendError::NotSent(reason))
             }
-            (Err(SendError::NotSent(reason)), Some(gate)) if gate.shut() => {
+            (Err(SendError::NotSent(reason)), Some(gate)) if gate.close() => {
                 Err(SendError::Sent(reason))
             }
             (sent, _) => sent,
--- a/crates/server/src/gate.rs
+++ b/crates/server/src/gate.rs
@@ -63,7 +63,7 @@
 
     /// Lets nothing through from here on, unless it is open; tells whether it
     /// is, so that bytes may have been written.
-    pub(crate) fn shut(&self) -> bool {
+    pub(crate) fn close(&self) -> bool {
         let mut state = self.lock();
         if *state == State::Waiting {
             *state = State::Shut;
