--- a/crates/server/src/gate.rs
+++ b/crates/server/src/gate.rs
@@ -1,8 +1,8 @@
 //! The last check before a call's first byte is written to its socket.
 //!
-//! Between the decision to send and the write the process may have been frozen
-//! for any time. So the right to send is asked for in the write itself, not
-//! when the request is handed to the HTTP library.
+//! The process may be suspended for any length of time between the decision to
+//! send and the write. The permission to send is therefore requested in the
+//! write itself, not when the request is handed to the HTTP library.
 
 use std::{
     io,
@@ -24,57 +24,59 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Waiting,
+    Pending,
     Open,
-    Shut,
+    Closed,
 }
 
-/// Lets one call through when the run may send it.
+/// Allows one call to be written if its run has permission to send it.
 #[derive(Debug)]
 pub(crate) struct Gate {
-    right: Arc<RunRight>,
-    stage: u32,
+    run_right: Arc<RunRight>,
+    stage_index: u32,
     kind: CallKind,
     state: Mutex<State>,
 }
 
 impl Gate {
-    /// Creates the gate of a call of the stage with index `stage`.
-    pub(crate) fn new(right: Arc<RunRight>, stage: u32, kind: CallKind) -> Self {
+    /// Creates the gate of a call for the stage with index `stage_index`.
+    pub(crate) fn new(run_right: Arc<RunRight>, stage_index: u32, kind: CallKind) -> Self {
         Self {
-            right,
-            stage,
+            run_right,
+            stage_index,
             kind,
-            state: Mutex::new(State::Waiting),
+            state: Mutex::new(State::Pending),
         }
     }
 
-    /// Asks for the right to send, once; tells whether bytes may be written.
-    fn open(&self) -> bool {
+    /// Requests permission to send on the first use and returns whether bytes may
+    /// be written.
+    fn try_open(&self) -> bool {
         let mut state = self.lock();
-        if *state == State::Waiting {
-            *state = match self.right.permit(self.stage, self.kind) {
+        if *state == State::Pending {
+            *state = match self.run_right.permit(self.stage_index, self.kind) {
                 Permit::Send => State::Open,
-                Permit::Refused(_) => State::Shut,
+                Permit::Refused(_) => State::Closed,
             };
         }
         *state == State::Open
     }
 
-    /// Lets nothing through from here on, unless it is open; tells whether it
-    /// is, so that bytes may have been written.
+    /// Closes the gate unless it is already open. Returns whether it is open, in
+    /// which case bytes may have been written.
     pub(crate) fn close(&self) -> bool {
         let mut state = self.lock();
-        if *state == State::Waiting {
-            *state = State::Shut;
+        if *state == State::Pending {
+            *state = State::Closed;
         }
         *state == State::Open
     }
 
-    /// Notes that the backend server refused the call.
+    /// Withdraws the record that a non-idempotent call was sent, because the
+    /// backend server refused it.
     pub(crate) fn on_refused(&self) {
         if self.kind == CallKind::NonIdempotent {
-            self.right.retract(Retraction::Refused);
+            self.run_right.retract(Retraction::Refused);
         }
     }
 
@@ -83,8 +85,8 @@
     }
 }
 
-/// Gate of the request that is about to be written to a connection, if it has
-/// one.
+/// Holds the gate of the request that is about to be written to a connection, if
+/// that request has one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct GateSlot(Arc<Mutex<Option<Arc<Gate>>>>);
 
@@ -97,7 +99,9 @@
     fn check(&self) -> io::Result<()> {
         let mut slot = self.lock();
         match slot.as_ref() {
-            Some(gate) if !gate.open() => Err(io::Error::other("the run may not send")),
+            Some(gate) if !gate.try_open() => {
+                Err(io::Error::other("the run has no permission to send"))
+            }
             _ => {
                 *slot = None;
                 Ok(())
@@ -110,7 +114,7 @@
     }
 }
 
-/// A TCP stream whose writes pass a gate.
+/// A TCP stream that checks a gate before each write.
 #[derive(Debug)]
 pub(crate) struct GatedStream {
     stream: TcpStream,
@@ -118,7 +122,7 @@
 }
 
 impl GatedStream {
-    /// Puts the gates of `slot` before the writes to `stream`.
+    /// Wraps `stream` so that its writes check the gate in `slot`.
     pub(crate) fn new(stream: TcpStream, slot: GateSlot) -> Self {
         Self { stream, slot }
     }
