--- a/crates/server/src/answers.rs
+++ b/crates/server/src/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of requests that may not be run twice, for whoever repeats them.
+//! Cached answers of non-idempotent requests, returned when a request is repeated.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -14,12 +14,12 @@
 
 use crate::lock::lock;
 
-/// Most bytes of answers that are kept.
-const MAX_KEPT_BYTES: usize = 32 << 20;
-/// Most answers that are kept.
-const MAX_KEPT: usize = 65_536;
+/// Maximum total size of the cached answers, in bytes.
+const MAX_CACHED_BYTES: usize = 32 << 20;
+/// Maximum number of cached answers.
+const MAX_CACHED_ANSWERS: usize = 65_536;
 
-/// What an answer is kept under.
+/// Cache key of an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum AnswerKey {
     /// An idempotency key.
@@ -28,18 +28,18 @@
     Ticket(TicketId),
 }
 
-/// What is known under a key.
+/// Result of a lookup.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Found {
-    /// Nothing.
+    /// There is neither a run nor an answer.
     Absent,
-    /// A run that has not ended in time.
+    /// The run has not ended by the deadline of the lookup.
     InFlight,
-    /// The JSON body of its answer.
+    /// The run has ended with this answer, a JSON body.
     Ended(Bytes),
 }
 
-/// How far a run is.
+/// State of a run.
 #[derive(Clone, Debug)]
 enum Run {
     InFlight,
@@ -48,36 +48,36 @@
 }
 
 #[derive(Debug, Default)]
-struct Kept {
+struct AnswerCache {
     running: HashMap<AnswerKey, watch::Receiver<Run>>,
     ended: HashMap<AnswerKey, Bytes>,
     order: VecDeque<AnswerKey>,
     bytes: usize,
 }
 
-impl Kept {
-    fn keep(&mut self, key: AnswerKey, body: Bytes) {
+impl AnswerCache {
+    fn insert(&mut self, key: AnswerKey, body: Bytes) {
         self.bytes += body.len();
-        if let Some(before) = self.ended.insert(key.clone(), body) {
-            self.bytes -= before.len();
+        if let Some(replaced) = self.ended.insert(key.clone(), body) {
+            self.bytes -= replaced.len();
         } else {
             self.order.push_back(key);
         }
-        while (self.bytes > MAX_KEPT_BYTES || self.order.len() > MAX_KEPT)
+        while (self.bytes > MAX_CACHED_BYTES || self.order.len() > MAX_CACHED_ANSWERS)
             && let Some(oldest) = self.order.pop_front()
         {
-            let dropped = self.ended.remove(&oldest);
-            self.bytes -= dropped.map_or(0, |body| body.len());
+            let evicted = self.ended.remove(&oldest);
+            self.bytes -= evicted.map_or(0, |body| body.len());
         }
     }
 }
 
-/// Runs in flight and answers given on this instance.
+/// Runs in flight and cached answers of this instance.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Answers(Arc<Mutex<Kept>>);
+pub(crate) struct Answers(Arc<Mutex<AnswerCache>>);
 
 impl Answers {
-    /// Notes that a run begins.
+    /// Registers a run as in flight.
     pub(crate) fn begin(&self, key: AnswerKey) -> Publisher {
         let (sender, receiver) = watch::channel(Run::InFlight);
         self.lock().running.insert(key.clone(), receiver);
@@ -88,11 +88,11 @@
         }
     }
 
-    /// Returns what is known under `key`, and waits for a run until `deadline`.
+    /// Looks up the answer for `key`; waits for a run in flight until `deadline`.
     pub(crate) async fn wait(&self, key: &AnswerKey, deadline: Instant) -> Found {
         let mut running = {
-            let kept = self.lock();
-            match (kept.ended.get(key), kept.running.get(key)) {
+            let cache = self.lock();
+            match (cache.ended.get(key), cache.running.get(key)) {
                 (Some(body), _) => return Found::Ended(body.clone()),
                 (None, Some(running)) => running.clone(),
                 (None, None) => return Found::Absent,
@@ -107,13 +107,13 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Kept> {
+    fn lock(&self) -> MutexGuard<'_, AnswerCache> {
         lock(&self.0)
     }
 }
 
-/// Publishes the answer of one run; dropped without one, whoever waits is told
-/// that there is none.
+/// Publishes the answer of one run. Dropping it without an answer makes waiting
+/// lookups return [`Found::Absent`].
 #[derive(Debug)]
 pub(crate) struct Publisher {
     answers: Answers,
@@ -122,10 +122,10 @@
 }
 
 impl Publisher {
-    /// Gives the answer to whoever waits, and keeps it.
+    /// Caches the answer and sends it to waiting lookups.
     pub(crate) fn publish(&self, body: Vec<u8>) {
         let body = Bytes::from(body);
-        self.answers.lock().keep(self.key.clone(), body.clone());
+        self.answers.lock().insert(self.key.clone(), body.clone());
         self.end(Run::Answered(body));
     }
 
@@ -136,19 +136,19 @@
 
     fn end(&self, run: Run) {
         self.sender.send_if_modified(|current| {
-            let ends = matches!(current, Run::InFlight);
-            if ends {
+            let is_first_end = matches!(current, Run::InFlight);
+            if is_first_end {
                 *current = run;
             }
-            ends
+            is_first_end
         });
-        let mut kept = self.answers.lock();
-        let is_own = kept
+        let mut cache = self.answers.lock();
+        let is_own = cache
             .running
             .get(&self.key)
             .is_some_and(|running| running.same_channel(&self.sender.subscribe()));
         if is_own {
-            kept.running.remove(&self.key);
+            cache.running.remove(&self.key);
         }
     }
 }
--- a/crates/server/src/caller.rs
+++ b/crates/server/src/caller.rs
@@ -1,4 +1,4 @@
-//! The callers' interface: from an HTTP request to an HTTP answer.
+//! The HTTP interface for callers.
 
 mod answer;
 mod head;
@@ -13,8 +13,11 @@
 
 pub(crate) use self::answer::final_answer;
 use self::{
-    answer::{refuse, stream, whole},
-    head::{has_warrant, head, new_request_id, pipeline, request_id, wants_stream, workspace},
+    answer::{respond_refused, respond_stream, respond_whole},
+    head::{
+        accepts_stream, has_warrant, new_request_id, parse_head, parse_pipeline, parse_request_id,
+        parse_workspace,
+    },
 };
 use crate::{
     controller, credential,
@@ -24,9 +27,9 @@
     refusal::Refusal,
 };
 
-/// Path of the tickets.
+/// Path on which tickets are issued.
 const TICKETS_PATH: &str = "/v1/tickets";
-/// Builds the service of the callers' listener.
+/// Builds the service for the callers' listener.
 pub(crate) fn service(
     shared: Arc<Shared>,
 ) -> BoxCloneSyncService<Request<Incoming>, Response<Body>, Infallible> {
@@ -38,24 +41,29 @@
             async move { Ok::<_, Infallible>(submit(&shared, request).await) }
         })
     };
-    let bounded = ServiceBuilder::new()
+    let limited = ServiceBuilder::new()
         .load_shed()
         .layer(tower::limit::GlobalConcurrencyLimitLayer::new(max_requests))
         .service(handler);
     BoxCloneSyncService::new(tower::service_fn(move |request: Request<Incoming>| {
-        let (shared, bounded) = (Arc::clone(&shared), bounded.clone());
+        let (shared, limited) = (Arc::clone(&shared), limited.clone());
         async move {
-            // Probes are answered under any load.
+            // Probes bypass the concurrency limit so that they work under overload.
             if let Some(answer) = probe(&shared, &request) {
                 return Ok(answer);
             }
-            let id = request_id(request.headers()).unwrap_or_else(|_| new_request_id());
-            let has_key = has_warrant(request.headers());
-            match bounded.oneshot(request).await {
+            let id = parse_request_id(request.headers()).unwrap_or_else(|_| new_request_id());
+            let has_warrant_header = has_warrant(request.headers());
+            match limited.oneshot(request).await {
                 Ok(answer) => Ok(answer),
                 Err(err) => {
                     debug_assert!(err.is::<Overloaded>());
-                    Ok(refuse(&shared, &id, has_key, Refusal::Overloaded))
+                    Ok(respond_refused(
+                        &shared,
+                        &id,
+                        has_warrant_header,
+                        Refusal::Overloaded,
+                    ))
                 }
             }
         }
@@ -64,12 +72,12 @@
 
 fn probe(shared: &Shared, request: &Request<Incoming>) -> Option<Response<Body>> {
     let is_ready = shared.phases.current() == Phase::Serving;
-    let is_well = match request.uri().path() {
+    let is_healthy = match request.uri().path() {
         "/live" => true,
         "/ready" => is_ready,
         _ => return None,
     };
-    let (status, text) = match is_well {
+    let (status, text) = match is_healthy {
         _ if request.method() != Method::GET => (StatusCode::METHOD_NOT_ALLOWED, "use GET\n"),
         true => (StatusCode::OK, "ok\n"),
         false => (StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
@@ -79,14 +87,16 @@
 
 async fn submit(shared: &Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
     let arrived_at_ms = shared.clock.now_ms();
-    let has_key = has_warrant(request.headers());
-    let id = match request_id(request.headers()) {
+    let has_warrant_header = has_warrant(request.headers());
+    let id = match parse_request_id(request.headers()) {
         Ok(id) => id,
-        Err(refusal) => return refuse(shared, &new_request_id(), has_key, refusal),
+        Err(refusal) => {
+            return respond_refused(shared, &new_request_id(), has_warrant_header, refusal);
+        }
     };
     match run(shared, request, &id, arrived_at_ms).await {
         Ok(answer) => answer,
-        Err(refusal) => refuse(shared, &id, has_key, refusal),
+        Err(refusal) => respond_refused(shared, &id, has_warrant_header, refusal),
     }
 }
 
@@ -99,12 +109,12 @@
     if request.uri().path() == TICKETS_PATH {
         return issue_ticket(shared, &request);
     }
-    let pipeline = pipeline(request.uri().path()).ok_or(Refusal::NoPath)?;
+    let pipeline = parse_pipeline(request.uri().path()).ok_or(Refusal::NoPath)?;
     if request.method() != Method::POST {
         return Err(Refusal::BadMethod);
     }
-    let head = head(request.headers(), pipeline, id, arrived_at_ms)?;
-    let is_streamed = wants_stream(request.headers());
+    let head = parse_head(request.headers(), pipeline, id, arrived_at_ms)?;
+    let is_streamed = accepts_stream(request.headers());
     let admitted = controller::admit(shared, head)?;
     let limits = &shared.settings.limits;
     let mut digest = admitted.digest();
@@ -112,16 +122,16 @@
         request.into_body(),
         limits.body_bytes,
         limits.body_timeout(),
-        |part| digest.update(part),
+        |chunk| digest.update(chunk),
     )
     .await
     .map_err(body_refusal)?;
     let submission: Submission = serde_json::from_slice(&body).map_err(|_| Refusal::BadBody)?;
     let updates = controller::execute(shared, admitted, submission.input, digest.finish());
     Ok(if is_streamed {
-        stream(shared, id, updates).await
+        respond_stream(shared, id, updates).await
     } else {
-        whole(shared, id, updates).await
+        respond_whole(shared, id, updates).await
     })
 }
 
@@ -129,7 +139,7 @@
     if request.method() != Method::POST {
         return Err(Refusal::BadMethod);
     }
-    let workspace = workspace(request.headers())?;
+    let workspace = parse_workspace(request.headers())?;
     let credential = credential::presented(request.headers()).ok_or(Refusal::Unauthorized)?;
     controller::authenticate(shared, &workspace, Some(credential))?;
     if shared.phases.is_leaving() {
@@ -143,8 +153,8 @@
     Ok(http_body::json(StatusCode::CREATED, &ticket))
 }
 
-fn body_refusal(fault: BodyError) -> Refusal {
-    match fault {
+fn body_refusal(err: BodyError) -> Refusal {
+    match err {
         BodyError::TooLarge => Refusal::LargeBody,
         BodyError::TooSlow => Refusal::SlowBody,
         BodyError::Broken => Refusal::BadBody,
--- a/crates/server/src/caller/answer.rs
+++ b/crates/server/src/caller/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: whole, as a stream of events, or a refusal.
+//! HTTP responses to callers: a single JSON body, an event stream, or a refusal.
 
 use std::{
     io,
@@ -21,11 +21,11 @@
     runner::Update,
 };
 
-/// Reason of an answer whose request ended without one.
-const LOST: &str = "internal: the request ended without an answer";
+/// Reason given when a request ended without an answer.
+const LOST_ANSWER_REASON: &str = "internal: the request ended without an answer";
 
-/// Waits for the end of a request and answers with all of it.
-pub(super) async fn whole(
+/// Waits for the final answer and responds with it as one JSON body.
+pub(super) async fn respond_whole(
     shared: &Shared,
     id: &RequestId,
     mut updates: mpsc::UnboundedReceiver<Update>,
@@ -35,17 +35,19 @@
             Update::Token { .. } => {}
             Update::Final(completion) => {
                 let status = refusal::status(&completion);
-                return answer(shared, status, &final_answer(id, *completion));
+                return json_response(shared, status, &final_answer(id, *completion));
+            }
+            Update::Given(given) => {
+                return json_response(shared, refusal::answer_status(&given), &given);
             }
-            Update::Given(given) => return answer(shared, refusal::given_status(&given), &given),
         }
     }
-    answer(shared, StatusCode::INTERNAL_SERVER_ERROR, &lost(id))
+    json_response(shared, StatusCode::INTERNAL_SERVER_ERROR, &lost_answer(id))
 }
 
-/// Waits for the first event, so that a request that fails before it has a
-/// token is answered with the status of its failure.
-pub(super) async fn stream(
+/// Responds with a stream of events. Waits for the first event, so that a request
+/// that fails before its first token gets the status of its failure.
+pub(super) async fn respond_stream(
     shared: &Shared,
     id: &RequestId,
     mut updates: mpsc::UnboundedReceiver<Update>,
@@ -54,7 +56,7 @@
     let status = match &first {
         Some(Update::Token { .. }) => StatusCode::OK,
         Some(Update::Final(completion)) => refusal::status(completion),
-        Some(Update::Given(given)) => refusal::given_status(given),
+        Some(Update::Given(given)) => refusal::answer_status(given),
         None => StatusCode::INTERNAL_SERVER_ERROR,
     };
     let outcome = match &first {
@@ -73,11 +75,11 @@
     *response.status_mut() = status;
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static(NDJSON));
-    put_common(shared, headers, id, outcome);
+    insert_common_headers(shared, headers, id, outcome);
     response
 }
 
-/// The events of a request, one JSON value a line.
+/// Response body with the events of a request, one JSON value per line.
 struct EventBody {
     id: RequestId,
     first: Option<Update>,
@@ -106,7 +108,7 @@
                 AnswerEvent::Final(final_answer(&self.id, *completion))
             }
             Some(Update::Given(given)) => AnswerEvent::Final(*given),
-            None => AnswerEvent::Final(lost(&self.id)),
+            None => AnswerEvent::Final(lost_answer(&self.id)),
         };
         self.is_ended = matches!(event, AnswerEvent::Final(_));
         let mut line = serde_json::to_vec(&event).unwrap_or_default();
@@ -115,7 +117,7 @@
     }
 }
 
-/// Puts an answer into the form that callers get.
+/// Converts a completion into the answer that is sent to the caller.
 pub(crate) fn final_answer(id: &RequestId, completion: Completion) -> Answer {
     Answer {
         request_id: id.clone(),
@@ -127,33 +129,33 @@
     }
 }
 
-fn lost(id: &RequestId) -> Answer {
+fn lost_answer(id: &RequestId) -> Answer {
     Answer {
         request_id: id.clone(),
         outcome: Outcome::Unknown,
-        reason: Some(LOST.to_owned()),
+        reason: Some(LOST_ANSWER_REASON.to_owned()),
         output: None,
         retry_after_ms: None,
         stages: Vec::new(),
     }
 }
 
-/// Answers a request that is refused.
-pub(super) fn refuse(
+/// Responds to a refused request.
+pub(super) fn respond_refused(
     shared: &Shared,
     id: &RequestId,
-    has_key: bool,
+    has_warrant_header: bool,
     refusal: Refusal,
 ) -> Response<Body> {
     let body = Answer {
         request_id: id.clone(),
-        outcome: refusal.outcome(has_key),
+        outcome: refusal.outcome(has_warrant_header),
         reason: Some(refusal.code()),
         output: None,
         retry_after_ms: refusal.retry_after_ms(),
         stages: Vec::new(),
     };
-    let mut response = answer(shared, refusal.status(), &body);
+    let mut response = json_response(shared, refusal.status(), &body);
     let headers = response.headers_mut();
     match refusal {
         Refusal::Unauthorized => {
@@ -167,18 +169,23 @@
     response
 }
 
-fn answer(shared: &Shared, status: StatusCode, body: &Answer) -> Response<Body> {
+fn json_response(shared: &Shared, status: StatusCode, body: &Answer) -> Response<Body> {
     let bytes = serde_json::to_vec(body).unwrap_or_default();
     let mut response = http_body::with_type(status, JSON, bytes);
     let headers = response.headers_mut();
-    put_common(shared, headers, &body.request_id, Some(body.outcome));
+    insert_common_headers(shared, headers, &body.request_id, Some(body.outcome));
     if let Some(retry_after_ms) = body.retry_after_ms {
         headers.insert(header::RETRY_AFTER, retry_after_ms.div_ceil(1_000).into());
     }
     response
 }
 
-fn put_common(shared: &Shared, headers: &mut HeaderMap, id: &RequestId, outcome: Option<Outcome>) {
+fn insert_common_headers(
+    shared: &Shared,
+    headers: &mut HeaderMap,
+    id: &RequestId,
+    outcome: Option<Outcome>,
+) {
     let instance = shared.settings.instance.as_str();
     let outcome = outcome.map(Outcome::as_str);
     let values = [
--- a/crates/server/src/controller.rs
+++ b/crates/server/src/controller.rs
@@ -1,4 +1,4 @@
-//! Takes one request from its arrival to its answer.
+//! Admits requests, starts their execution and records their completion.
 
 use std::{sync::Arc, time::Duration};
 
@@ -25,32 +25,32 @@
     sharing,
 };
 
-/// Priority of a call whose workspace asks for attainment.
+/// Priority of calls for a workspace whose objective is deadline attainment.
 const ATTAINMENT_PRIORITY: u8 = 1;
-/// Priority of a call whose workspace weighs cost.
+/// Priority of calls for a workspace whose objective is cost.
 const COST_PRIORITY: u8 = 0;
 
-/// Who sends a request and how, from its head.
+/// Sender and parameters of a request, parsed from its path and headers.
 #[derive(Clone, Debug)]
 pub(crate) struct Head {
-    /// Identifier of the request, the caller's or one made for it.
+    /// Request identifier, given by the caller or generated.
     pub(crate) request: RequestId,
-    /// Workspace that the caller names.
+    /// Workspace named by the caller.
     pub(crate) workspace: WorkspaceName,
-    /// Credential that the caller presents; none when a peer passes the request
-    /// on, which has checked it.
+    /// Credential of the caller; `None` for a request forwarded by a peer, which
+    /// has already checked the credential.
     pub(crate) credential: Option<String>,
-    /// Pipeline that the caller asks for.
+    /// Requested pipeline.
     pub(crate) pipeline: PipelineName,
-    /// Time that the caller gives the request, in ms.
+    /// Requested time limit, relative to the arrival, in ms.
     pub(crate) deadline_ms: Option<u64>,
-    /// What it is run under when it may not be run twice.
+    /// Idempotency key or ticket; required for a pipeline that is not idempotent.
     pub(crate) warrant: Option<Warrant>,
-    /// Time at which the request arrived, in ms.
+    /// Arrival time of the request, in ms.
     pub(crate) arrived_at_ms: u64,
 }
 
-/// A request whose caller is known and may use its pipeline.
+/// A request that passed authentication, authorisation and admission.
 #[derive(Debug)]
 pub(crate) struct Admitted {
     head: Head,
@@ -60,7 +60,7 @@
     guard: InFlight,
 }
 
-/// What is needed to account for a request at its end.
+/// Data for the metrics and the log line of a completed request.
 #[derive(Clone, Debug)]
 pub(crate) struct Account {
     shared: Arc<Shared>,
@@ -72,21 +72,21 @@
     deadline_at_ms: u64,
 }
 
-/// Decides by the head alone whether a request is taken, so that the body of
-/// one that is not need not be read.
+/// Decides from the head alone whether to admit a request, so that the body of a
+/// refused request need not be read.
 ///
 /// # Errors
 ///
-/// Returns why it is not.
+/// Returns the reason for the refusal.
 pub(crate) fn admit(shared: &Arc<Shared>, head: Head) -> Result<Admitted, Refusal> {
-    let admitted = find(shared, &head)
-        .and_then(|found| check_warrant(&found.0, &head).map(|()| found))
-        .and_then(|found| shared.enter().map(|guard| (found, guard)))
-        .and_then(|found| check_quota(shared, &head).map(|()| found));
+    let admitted = resolve_pipeline(shared, &head)
+        .and_then(|resolved| check_warrant(&resolved.0, &head).map(|()| resolved))
+        .and_then(|resolved| shared.enter().map(|guard| (resolved, guard)))
+        .and_then(|resolved| check_quota(shared, &head).map(|()| resolved));
     log_admission(shared, &head, admitted.as_ref().err());
     let ((pipeline, objective), guard) = admitted?;
-    let asked_ms = head.deadline_ms.unwrap_or(pipeline.deadline_ms);
-    let deadline_ms = asked_ms.min(shared.settings.limits.max_deadline_ms);
+    let requested_ms = head.deadline_ms.unwrap_or(pipeline.deadline_ms);
+    let deadline_ms = requested_ms.min(shared.settings.limits.max_deadline_ms);
     Ok(Admitted {
         deadline_at_ms: head.arrived_at_ms.saturating_add(deadline_ms),
         head,
@@ -97,14 +97,14 @@
 }
 
 impl Admitted {
-    /// Begins to digest what the request asks for, which its body follows.
+    /// Starts the request digest with the head; the caller adds the body.
     pub(crate) fn digest(&self) -> DigestBuilder {
         let head = &self.head;
         DigestBuilder::new(Some(&head.workspace), "POST", "", head.pipeline.as_str())
     }
 }
 
-/// Runs a request that was admitted, and returns what happens to it.
+/// Starts an admitted request and returns the channel of its updates.
 pub(crate) fn execute(
     shared: &Arc<Shared>,
     admitted: Admitted,
@@ -118,7 +118,8 @@
         deadline_at_ms,
         guard,
     } = admitted;
-    // Of what may not be run twice, the claim or ticket says what ran before.
+    // For a pipeline that is not idempotent, the claim or ticket records whether an
+    // earlier run was started.
     let has_warrant = head.warrant.is_some();
     let warrant = head.warrant.filter(|_| !pipeline.is_idempotent());
     let earlier_may_have_run = has_warrant && warrant.is_none();
@@ -131,9 +132,10 @@
         arrived_at_ms: head.arrived_at_ms,
         deadline_at_ms,
     };
-    // Only engines cache prefixes, and hashing a whole input is not free.
-    let has_engine = pipeline.stages.iter().any(|stage| stage.model.is_some());
-    let prefix = has_engine.then(|| prefix_hash(&input));
+    // Only stages with a model cache prefixes. Hashing a whole input is costly, so
+    // other pipelines skip it.
+    let has_model_stage = pipeline.stages.iter().any(|stage| stage.model.is_some());
+    let prefix = has_model_stage.then(|| prefix_hash(&input));
     let spec = ExecutionSpec {
         request: head.request,
         workspace: head.workspace,
@@ -153,21 +155,22 @@
 }
 
 impl Account {
-    /// Returns what the request asks for, under whichever identifier.
+    /// Returns the digest of the request's content, which does not depend on its
+    /// identifier.
     pub(crate) fn digest(&self) -> RequestDigest {
         self.digest
     }
 
-    /// Returns the request that it is for.
+    /// Returns the request's identifier.
     pub(crate) fn request(&self) -> &RequestId {
         &self.request
     }
 
-    /// Counts and logs the final answer.
+    /// Updates the metrics and logs the final answer.
     pub(crate) fn close(&self, completion: &Completion) {
         let now_ms = self.shared.clock.now_ms();
         let elapsed_ms = now_ms.saturating_sub(self.arrived_at_ms);
-        let is_in_time = now_ms <= self.deadline_at_ms;
+        let is_on_time = now_ms <= self.deadline_at_ms;
         let meters = &self.shared.meters;
         for usage in &completion.stages {
             meters.stage(&self.workspace, &self.pipeline, usage);
@@ -176,24 +179,25 @@
             &self.workspace,
             &self.pipeline,
             completion.outcome,
-            is_in_time,
+            is_on_time,
             Duration::from_millis(elapsed_ms),
         );
         info!(self.shared.log, "request answered"; "request" => %self.request,
             "workspace" => %self.workspace, "pipeline" => %self.pipeline,
             "outcome" => completion.outcome.as_str(),
             "reason" => completion.reason.as_ref().map(|reason| reason.to_string()),
-            "elapsed_ms" => elapsed_ms, "in_time" => is_in_time,
+            "elapsed_ms" => elapsed_ms, "in_time" => is_on_time,
             "cost_micros" => completion.stages.iter().map(|usage| usage.cost_micros).sum::<u64>());
     }
 }
 
-/// Returns the workspace that a caller proves to belong to. One that does not
-/// exist and a wrong credential look alike.
+/// Returns the workspace that the caller authenticates for. An unknown workspace
+/// and a wrong credential give the same error.
 ///
 /// # Errors
 ///
-/// Returns [`Refusal::Unauthorized`] for either.
+/// Returns [`Refusal::Unauthorized`] for either, and [`Refusal::NotReady`] while
+/// the instance has no configuration.
 pub(crate) fn authenticate(
     shared: &Shared,
     workspace: &WorkspaceName,
@@ -203,15 +207,16 @@
         return Err(Refusal::NotReady);
     }
     let state = shared.configuration.state();
-    let is_known = |found: &&Workspace| {
+    let has_credential = |found: &&Workspace| {
         credential.is_none_or(|text| credential::matches(text, &found.credential_sha256))
     };
-    let found = state.workspace(workspace.as_str()).filter(is_known);
+    let found = state.workspace(workspace.as_str()).filter(has_credential);
     found.cloned().ok_or(Refusal::Unauthorized)
 }
 
-/// A pipeline that does not exist and one of another workspace look alike.
-fn find(shared: &Shared, head: &Head) -> Result<(Arc<Pipeline>, Objective), Refusal> {
+/// Returns the requested pipeline and the workspace's objective. An unknown
+/// pipeline and a pipeline of another workspace give the same error.
+fn resolve_pipeline(shared: &Shared, head: &Head) -> Result<(Arc<Pipeline>, Objective), Refusal> {
     let workspace = authenticate(shared, &head.workspace, head.credential.as_deref())?;
     let state = shared.configuration.state();
     let is_allowed = workspace.pipelines.contains(&head.pipeline);
@@ -222,7 +227,8 @@
     Ok((Arc::new(pipeline.clone()), workspace.objective))
 }
 
-/// A pipeline that may not be run twice needs a key to claim or a ticket.
+/// Checks that a request for a pipeline that is not idempotent has an idempotency
+/// key or a ticket.
 fn check_warrant(pipeline: &Pipeline, head: &Head) -> Result<(), Refusal> {
     if pipeline.is_idempotent() || head.warrant.is_some() {
         Ok(())
@@ -233,7 +239,7 @@
 
 fn check_quota(shared: &Shared, head: &Head) -> Result<(), Refusal> {
     if head.credential.is_none() {
-        // The peer that passes it on has counted it.
+        // The peer that forwarded the request has already counted it.
         return Ok(());
     }
     match sharing::admit(shared, &head.workspace) {
@@ -250,8 +256,8 @@
     }
 }
 
-/// Attempts are numbered from a random base: a caller may send the same
-/// request id again, to another instance too.
+/// Returns a random base for attempt numbers, because a caller may reuse a request
+/// id, also on another instance.
 fn attempt_base() -> u64 {
     u64::from(rand::random::<u32>()) << 16
 }
--- a/crates/server/src/refusal.rs
+++ b/crates/server/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers to requests that are not run, and the status of every answer.
+//! Reasons for refusing a request, and the HTTP status of every answer.
 
 use http::StatusCode;
 use savoryvane_core::{
@@ -8,20 +8,20 @@
 
 use crate::exclusive;
 
-/// Why a request was not run, before any of it was.
+/// Reason for refusing a request before any part of it is run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Refusal {
-    /// No credential, or not that of the workspace.
+    /// The credential is missing or wrong, or the workspace does not exist.
     Unauthorized,
-    /// There is no such pipeline for this workspace.
+    /// The workspace has no pipeline of this name.
     NoPipeline,
-    /// There is no such path.
+    /// The path does not exist.
     NoPath,
-    /// The path takes another method.
+    /// The path does not support the method.
     BadMethod,
-    /// A header has a value that is not allowed.
+    /// The named header is missing or has an invalid value.
     BadHeader(&'static str),
-    /// The body is not what the interface asks for.
+    /// The body is malformed.
     BadBody,
     /// The body did not arrive in time.
     SlowBody,
@@ -31,17 +31,18 @@
     Overloaded,
     /// The instance has no configuration yet.
     NotReady,
-    /// The workspace is at its quota here; it may come back after this time, in
-    /// ms.
+    /// The workspace has used up its quota on this instance. The caller may retry
+    /// after this time, in ms.
     OverQuota(u64),
-    /// The pipeline may not be repeated, and no claim of its key can be made.
+    /// The pipeline is not idempotent, and no idempotency key can be claimed for
+    /// the request.
     NoClaim,
-    /// The ticket was not issued by this run of the instance.
+    /// The ticket was not issued by this incarnation of the instance.
     TicketNotValid,
 }
 
 impl Refusal {
-    /// Returns the code that the body carries as reason.
+    /// Returns the reason code in the body of the answer.
     pub(crate) fn code(self) -> String {
         match self {
             Self::Unauthorized => "unauthorized".to_owned(),
@@ -60,16 +61,16 @@
         }
     }
 
-    /// Returns the outcome that the caller is told.
-    pub(crate) fn outcome(self, has_key: bool) -> Outcome {
+    /// Returns the outcome in the answer.
+    pub(crate) fn outcome(self, has_warrant: bool) -> Outcome {
         match self {
             Self::NoClaim | Self::TicketNotValid => Outcome::NotStarted,
-            _ if has_key => Outcome::NotStarted,
+            _ if has_warrant => Outcome::NotStarted,
             _ => Outcome::NotRun,
         }
     }
 
-    /// Returns the status of the answer.
+    /// Returns the HTTP status of the answer.
     pub(crate) fn status(self) -> StatusCode {
         match self {
             Self::Unauthorized => StatusCode::UNAUTHORIZED,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Returns when to come back, in ms, where that helps.
+    /// Returns the time after which to retry, in ms, if a retry can succeed.
     pub(crate) fn retry_after_ms(self) -> Option<u64> {
         match self {
             Self::OverQuota(retry_after_ms) => Some(retry_after_ms),
@@ -94,16 +95,17 @@
     }
 }
 
-/// Returns the status of the answer to a request that was run.
+/// Returns the HTTP status for a completion.
 pub(crate) fn status(completion: &Completion) -> StatusCode {
     match completion.outcome {
-        Outcome::Failed if is_late(completion) => StatusCode::GATEWAY_TIMEOUT,
+        Outcome::Failed if missed_deadline(completion) => StatusCode::GATEWAY_TIMEOUT,
         outcome => outcome_status(outcome),
     }
 }
 
-/// Returns the status of an answer that was given without a run of its own.
-pub(crate) fn given_status(answer: &Answer) -> StatusCode {
+/// Returns the HTTP status of an answer that was not produced by a run of this
+/// request.
+pub(crate) fn answer_status(answer: &Answer) -> StatusCode {
     match answer.reason.as_deref() {
         Some(exclusive::REUSED) => StatusCode::UNPROCESSABLE_ENTITY,
         Some(exclusive::TICKET_NOT_VALID) => StatusCode::GONE,
@@ -120,6 +122,6 @@
     }
 }
 
-fn is_late(completion: &Completion) -> bool {
+fn missed_deadline(completion: &Completion) -> bool {
     completion.reason == Some(Reason::GivenUp(DecisionReason::DeadlinePassed))
 }
