--- a/crates/server/src/instance.rs
+++ b/crates/server/src/instance.rs
@@ -1,4 +1,4 @@
-//! One running entry instance: its listeners, its tasks and its end.
+//! The entry instance: starts its listeners and tasks, and shuts it down.
 
 use std::{
     net::SocketAddr,
@@ -56,53 +56,53 @@
     tickets::Tickets,
 };
 
-/// What every task of an instance shares.
+/// State shared by all tasks of an instance.
 #[derive(Debug)]
 pub(crate) struct Shared {
-    /// Settings that it was started with.
+    /// Settings that the instance was started with.
     pub(crate) settings: Settings,
-    /// Number of this run.
+    /// Random number that identifies this run of the instance.
     pub(crate) incarnation: Incarnation,
-    /// Where it logs.
+    /// Logger.
     pub(crate) log: Logger,
-    /// Its clock.
+    /// Monotonic clock, from the start of the instance.
     pub(crate) clock: Clock,
-    /// Its phase.
+    /// Current phase of the instance.
     pub(crate) phases: Arc<Phases>,
     /// The configuration in force.
     pub(crate) configuration: Configuration,
-    /// State that peers ask for.
+    /// Cached snapshots for peers.
     pub(crate) snapshots: SnapshotCache,
-    /// The platform's log and list.
+    /// Client of the platform's log and instance list.
     pub(crate) platform: PlatformClient,
-    /// Newest list of instances and backend servers.
+    /// Latest list of instances and backend servers; `None` before the first read.
     pub(crate) listing: ArcSwapOption<Listing>,
-    /// The other instances.
+    /// Membership and links to the other instances.
     pub(crate) members: Members,
-    /// Claims of requests that may not be run twice.
+    /// Claims of idempotency keys.
     pub(crate) claims: Claims,
-    /// Tickets for such requests.
+    /// Tickets for non-idempotent requests.
     pub(crate) tickets: Tickets,
-    /// Answers of such requests.
+    /// Cached answers of non-idempotent requests.
     pub(crate) answers: Answers,
-    /// Which requests end backend servers.
+    /// Tracker of requests that crash backend servers.
     pub(crate) ends: Ends,
-    /// Client of the backend servers.
+    /// Client for calls to backend servers.
     pub(crate) backends: BackendClient,
-    /// Part in the election of the placer.
+    /// Candidacy in the election of the placer.
     pub(crate) candidacy: Candidacy,
-    /// Placement of models.
+    /// Placement of models on backend servers.
     pub(crate) placement: Placement,
-    /// Metrics.
+    /// Metrics recorder.
     pub(crate) meters: Meters,
-    /// Tasks of requests; all have ended when it stops.
+    /// Request tasks; the shutdown waits for them.
     pub(crate) tasks: TaskTracker,
     fleet: Arc<Mutex<Fleet>>,
     in_flight: Arc<AtomicU32>,
 }
 
 impl Shared {
-    /// Locks the view of the backend servers, for a few steps without waiting.
+    /// Locks the view of the backend servers. Don't hold the guard across an await.
     pub(crate) fn fleet(&self) -> MutexGuard<'_, Fleet> {
         lock(&self.fleet)
     }
@@ -112,47 +112,47 @@
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Counts one more request in flight, until the guard is dropped.
+    /// Counts a request as in flight until the returned guard is dropped.
     ///
     /// # Errors
     ///
-    /// Returns [`Refusal::Overloaded`] when there are as many as allowed.
+    /// Returns [`Refusal::Overloaded`] if `max_in_flight` is reached.
     pub(crate) fn enter(&self) -> std::result::Result<InFlight, Refusal> {
         let max = self.settings.limits.max_in_flight;
-        let entered = self
+        let previous = self
             .in_flight
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |count| {
                 (u64::from(count) < max).then_some(count + 1)
             })
             .map_err(|_| Refusal::Overloaded)?;
-        metrics::gauge!("savoryvane_requests_in_flight").set(f64::from(entered + 1));
+        metrics::gauge!("savoryvane_requests_in_flight").set(f64::from(previous + 1));
         Ok(InFlight(Arc::clone(&self.in_flight)))
     }
 }
 
-/// Counts a request as in flight until it is dropped.
+/// Guard that counts a request as in flight until it is dropped.
 #[derive(Debug)]
 pub(crate) struct InFlight(Arc<AtomicU32>);
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        let before = self.0.fetch_sub(1, Ordering::Relaxed);
-        metrics::gauge!("savoryvane_requests_in_flight").set(f64::from(before.saturating_sub(1)));
+        let previous = self.0.fetch_sub(1, Ordering::Relaxed);
+        metrics::gauge!("savoryvane_requests_in_flight").set(f64::from(previous.saturating_sub(1)));
     }
 }
 
 /// Addresses that an instance listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
-    /// For callers.
+    /// Address for callers.
     pub caller: SocketAddr,
-    /// For other instances.
+    /// Address for other instances.
     pub peer: SocketAddr,
-    /// For operators.
+    /// Address for operators.
     pub admin: SocketAddr,
 }
 
-/// How an instance ended.
+/// Result of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
     /// Every request in flight was answered.
@@ -161,22 +161,22 @@
     TimedOut,
 }
 
-/// One running entry instance.
+/// A running entry instance.
 #[derive(Debug)]
 pub struct Instance {
     shared: Arc<Shared>,
     addresses: Addresses,
     connections: TaskTracker,
-    /// Tasks that run for as long as the instance; aborted when dropped.
+    /// Background tasks, which run until the instance ends; aborted on drop.
     background: JoinSet<()>,
 }
 
 impl Instance {
-    /// Starts an instance; it is ready once it has read the configuration.
+    /// Starts an instance. It becomes ready when it has read the configuration.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Listen`] when an address can't be listened on.
+    /// Returns [`Error::Listen`] if it can't listen on an address.
     pub async fn start(settings: Settings) -> Result<Self> {
         let caller = listener::bind("callers", settings.listen.caller).await?;
         let peer = listener::bind("peers", settings.listen.peer).await?;
@@ -186,15 +186,15 @@
             peer: local_addr(&peer)?,
             admin: local_addr(&admin)?,
         };
-        let (shared, inboxes) = share(settings, addresses.peer);
+        let (shared, receivers) = build_shared(settings, addresses.peer);
         let shared = Arc::new(shared);
         info!(shared.log, "instance started"; "incarnation" => %shared.incarnation,
             "caller" => %addresses.caller, "peer" => %addresses.peer,
             "admin" => %addresses.admin, "version" => env!("CARGO_PKG_VERSION"));
         let connections = TaskTracker::new();
-        let mut background = spawn_all(&shared, &connections, caller, admin);
-        spawn_peering(&mut background, &shared, peer, inboxes.linked);
-        background.spawn(follower::run(Arc::clone(&shared), inboxes.asked));
+        let mut background = spawn_background(&shared, &connections, caller, admin);
+        spawn_peering(&mut background, &shared, peer, receivers.connected_peers);
+        background.spawn(follower::run(Arc::clone(&shared), receivers.actions));
         Ok(Self {
             shared,
             addresses,
@@ -203,23 +203,25 @@
         })
     }
 
-    /// Returns the addresses that it listens on.
+    /// Returns the addresses that the instance listens on.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// Tells whether it takes requests.
+    /// Returns whether the instance is ready to accept requests.
     pub fn is_ready(&self) -> bool {
         self.shared.phases.current() == Phase::Serving
     }
 
-    /// Waits until it has begun to leave, as an operator may ask it to.
+    /// Waits until the instance begins to leave, for example at the request of an
+    /// operator.
     pub async fn leaving(&self) {
         self.shared.phases.reached(Phase::Leaving).await;
     }
 
-    /// Leaves: says that it is not ready, goes on for the grace time, then
-    /// accepts nothing new and finishes every request in flight.
+    /// Shuts down gracefully: reports itself as not ready, keeps accepting requests
+    /// for the grace time, then stops accepting and finishes the requests in flight
+    /// within the drain timeout.
     pub async fn leave(mut self) -> Ended {
         let Self {
             shared,
@@ -234,13 +236,13 @@
         shared.phases.advance(Phase::Draining);
         info!(shared.log, "draining"; "in_flight" => shared.in_flight());
         let deadline = Instant::now() + Duration::from_millis(drain.timeout_ms);
-        let finished = async {
+        let drained = async {
             connections.close();
             connections.wait().await;
             shared.tasks.close();
             shared.tasks.wait().await;
         };
-        let ended = match time::timeout_at(deadline, finished).await {
+        let ended = match time::timeout_at(deadline, drained).await {
             Ok(()) => Ended::Drained,
             Err(_) => Ended::TimedOut,
         };
@@ -256,18 +258,18 @@
     }
 }
 
-/// What tasks of the instance wait for.
-struct Inboxes {
-    /// Peers to which a gossip stream has been opened.
-    linked: mpsc::UnboundedReceiver<PeerId>,
-    /// What the follower of the configuration wants done.
-    asked: mpsc::UnboundedReceiver<Action>,
+/// Receivers that are handed to the background tasks.
+struct Receivers {
+    /// Peers to which a gossip stream was opened.
+    connected_peers: mpsc::UnboundedReceiver<PeerId>,
+    /// Actions requested by the configuration follower.
+    actions: mpsc::UnboundedReceiver<Action>,
 }
 
-fn share(settings: Settings, peer: SocketAddr) -> (Shared, Inboxes) {
+fn build_shared(settings: Settings, peer_addr: SocketAddr) -> (Shared, Receivers) {
     let log = logging::build(&settings);
     let incarnation = Incarnation(rand::random());
-    let (members, linked) = Members::new(&settings, incarnation, peer, log.clone());
+    let (members, connected_peers) = Members::new(&settings, incarnation, peer_addr, log.clone());
     let fleet = Arc::new(Mutex::new(Fleet::new(
         settings.instance.clone(),
         settings.zone.clone(),
@@ -278,7 +280,7 @@
         retention_ms: settings.platform.retention_ms,
         seed: rand::random(),
     };
-    let (configuration, asked) = Configuration::new(follower, Arc::clone(&fleet));
+    let (configuration, actions) = Configuration::new(follower, Arc::clone(&fleet));
     let shared = Shared {
         incarnation,
         members,
@@ -306,14 +308,20 @@
         log,
         settings,
     };
-    (shared, Inboxes { linked, asked })
+    (
+        shared,
+        Receivers {
+            connected_peers,
+            actions,
+        },
+    )
 }
 
 fn spawn_peering(
     background: &mut JoinSet<()>,
     shared: &Arc<Shared>,
     listener: TcpListener,
-    linked: mpsc::UnboundedReceiver<PeerId>,
+    connected_peers: mpsc::UnboundedReceiver<PeerId>,
 ) {
     let server = PeerServer {
         me: shared.members.peers().me().clone(),
@@ -323,10 +331,10 @@
         log: shared.log.clone(),
     };
     background.spawn(server.run(listener));
-    background.spawn(members::run(Arc::clone(shared), linked));
+    background.spawn(members::run(Arc::clone(shared), connected_peers));
 }
 
-fn spawn_all(
+fn spawn_background(
     shared: &Arc<Shared>,
     connections: &TaskTracker,
     caller: TcpListener,
@@ -338,7 +346,7 @@
         phases: Arc::clone(&shared.phases),
         connections: connections.clone(),
     };
-    // Operators can look at an instance until its very end.
+    // The operators' listener serves through the drain, until the process exits.
     let operators = Acceptor {
         phases: Arc::new(Phases::new()),
         connections: TaskTracker::new(),
@@ -358,11 +366,11 @@
     background
 }
 
-/// Returns the address that a listener has taken.
+/// Returns the local address of a listener.
 ///
 /// # Errors
 ///
-/// Returns [`Error::System`] when the system does not tell it.
+/// Returns [`Error::System`] if the system call fails.
 pub(crate) fn local_addr(listener: &TcpListener) -> Result<SocketAddr> {
     listener
         .local_addr()
--- a/crates/server/src/phase.rs
+++ b/crates/server/src/phase.rs
@@ -1,43 +1,43 @@
-//! The phases an instance goes through from its start to its end.
+//! Lifecycle phases of an instance.
 
 use tokio::sync::watch;
 
-/// Phase of an instance's life; phases only ever advance.
+/// Lifecycle phase of an instance. Phases only advance, in the order given here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
-    /// It has no configuration yet.
+    /// The instance has no configuration yet.
     Starting,
-    /// It takes requests.
+    /// The instance is ready and accepts requests.
     Serving,
-    /// It is not ready any more but still takes what comes, so that the
-    /// balancer has time to notice.
+    /// The instance reports itself as not ready but still accepts requests, so that
+    /// the load balancer has time to notice.
     Leaving,
-    /// It accepts no connections and finishes what it has.
+    /// The instance accepts no connections and finishes the requests in flight.
     Draining,
 }
 
-/// Publishes the phase of this instance.
+/// Holds the current phase and notifies tasks that wait for a phase.
 #[derive(Debug)]
 pub(crate) struct Phases {
     sender: watch::Sender<Phase>,
 }
 
 impl Phases {
-    /// Begins in [`Phase::Starting`].
+    /// Starts in [`Phase::Starting`].
     pub(crate) fn new() -> Self {
         Self {
             sender: watch::Sender::new(Phase::Starting),
         }
     }
 
-    /// Advances to `phase`; does nothing when that one is reached or passed.
+    /// Advances to `phase`, unless that phase is already reached or passed.
     pub(crate) fn advance(&self, phase: Phase) {
         self.sender.send_if_modified(|current| {
-            let advances = phase > *current;
-            if advances {
+            let is_later = phase > *current;
+            if is_later {
                 *current = phase;
             }
-            advances
+            is_later
         });
     }
 
@@ -46,12 +46,12 @@
         *self.sender.borrow()
     }
 
-    /// Tells whether the instance has begun to leave.
+    /// Returns whether the instance has begun to leave.
     pub(crate) fn is_leaving(&self) -> bool {
         self.current() >= Phase::Leaving
     }
 
-    /// Watches the phase.
+    /// Returns a receiver of the phase's changes.
     pub(crate) fn watch(&self) -> watch::Receiver<Phase> {
         self.sender.subscribe()
     }
@@ -59,7 +59,7 @@
     /// Waits until `phase` is reached or passed.
     pub(crate) async fn reached(&self, phase: Phase) {
         let mut watch = self.watch();
-        // The sender lives as long as `self`, so that this can't fail.
+        // The sender lives as long as `self`, so this can't fail.
         let _ = watch.wait_for(|current| *current >= phase).await;
     }
 }
