--- a/crates/server/src/http_body.rs
+++ b/crates/server/src/http_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of HTTP messages: bounded reads and answers in JSON.
+//! HTTP bodies: bounded reads of requests and constructors of responses.
 
 use std::{io, time::Duration};
 
@@ -9,23 +9,23 @@
 use serde::Serialize;
 use tokio::time;
 
-/// Body of every answer of this instance; one that breaks off ends its
-/// connection, so that it can't be taken for a whole one.
+/// Body of every response. A body that fails ends its connection, so that the
+/// receiver can't mistake it for a complete one.
 pub(crate) type Body = UnsyncBoxBody<Bytes, io::Error>;
 
 /// Media type of JSON.
 pub(crate) const JSON: &str = "application/json";
-/// Media type of one JSON value a line.
+/// Media type of newline-delimited JSON.
 pub(crate) const NDJSON: &str = "application/x-ndjson";
 
-/// Why the body of a request was not taken.
+/// Error of reading a request body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BodyError {
-    /// It is larger than allowed.
+    /// The body is larger than the limit.
     TooLarge,
-    /// It did not arrive in time.
+    /// The body did not arrive within the timeout.
     TooSlow,
-    /// Its sender broke off or its framing is wrong.
+    /// The sender closed the connection early, or the framing is invalid.
     Broken,
 }
 
@@ -38,20 +38,23 @@
     read_with(body, max_bytes, timeout, |_| {}).await
 }
 
-/// Reads a body like [`read`], and shows each part of it to `on_part` as it comes.
+/// Reads a body like [`read`] and calls `on_chunk` with each chunk as it arrives.
 pub(crate) async fn read_with(
     body: Incoming,
     max_bytes: u64,
     timeout: Duration,
-    mut on_part: impl FnMut(&[u8]),
+    mut on_chunk: impl FnMut(&[u8]),
 ) -> Result<Bytes, BodyError> {
     let body = body.map_frame(|frame| {
-        frame.data_ref().into_iter().for_each(|part| on_part(part));
+        frame
+            .data_ref()
+            .into_iter()
+            .for_each(|chunk| on_chunk(chunk));
         frame
     });
     let max_bytes = usize::try_from(max_bytes).unwrap_or(usize::MAX);
-    let whole = time::timeout(timeout, Limited::new(body, max_bytes).collect());
-    match whole.await {
+    let complete = time::timeout(timeout, Limited::new(body, max_bytes).collect());
+    match complete.await {
         Err(_) => Err(BodyError::TooSlow),
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(err)) if err.is::<LengthLimitError>() => Err(BodyError::TooLarge),
@@ -59,20 +62,20 @@
     }
 }
 
-/// Wraps bytes as a body.
+/// Wraps `bytes` as a body.
 pub(crate) fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// Builds an answer with `value` as JSON.
+/// Builds a response with `value` as JSON.
 pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     let bytes = serde_json::to_vec(value).unwrap_or_default();
     with_type(status, JSON, bytes)
 }
 
-/// Builds an answer with a body of the given media type.
+/// Builds a response with a body of the given media type.
 pub(crate) fn with_type(
     status: StatusCode,
     media_type: &'static str,
--- a/crates/server/src/listener.rs
+++ b/crates/server/src/listener.rs
@@ -34,32 +34,32 @@
     shared_stream::SharedStream,
 };
 
-/// Streams that one HTTP/2 connection may have open.
-const MAX_STREAMS: u32 = 256;
-/// Time to wait after the system refused to accept, in ms.
-const ACCEPT_PAUSE_MS: u64 = 50;
-/// Time for the first request of a connection that was made just before the
-/// instance began to drain; closing it would lose that request.
-const FIRST_REQUEST_WAIT: Duration = Duration::from_millis(500);
-/// Answer to a caller whose first head did not arrive in time.
-const TOO_SLOW: &[u8] =
+/// Maximum number of concurrent streams per HTTP/2 connection.
+const MAX_HTTP2_STREAMS: u32 = 256;
+/// Delay after a failed `accept` call, in ms.
+const ACCEPT_RETRY_DELAY_MS: u64 = 50;
+/// Time to wait for the first request of a connection that was opened just before
+/// the drain has_request; closing the connection at once would lose that request.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
+/// Response on a connection whose first request head did not arrive in time.
+const TIMEOUT_RESPONSE: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
-/// Answer to a caller for whose connection there is no room.
-const TOO_MANY: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\n\
+/// Response on a connection beyond the connection limit.
+const OVERLOAD_RESPONSE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\n\
     content-length: 0\r\nconnection: close\r\n\r\n";
 
-/// Binds a listener for `what`.
+/// Binds a listener; `purpose` names its users in the error.
 ///
 /// # Errors
 ///
-/// Returns [`Error::Listen`] when the address can't be had.
-pub(crate) async fn bind(what: &'static str, addr: SocketAddr) -> Result<TcpListener> {
+/// Returns [`Error::Listen`] if the address can't be bound.
+pub(crate) async fn bind(purpose: &'static str, addr: SocketAddr) -> Result<TcpListener> {
     TcpListener::bind(addr)
         .await
-        .map_err(|err| Error::Listen(what, addr, err))
+        .map_err(|err| Error::Listen(purpose, addr, err))
 }
 
-/// A service that answers the requests of a listener's connections.
+/// A service that handles the requests on a listener's connections.
 pub(crate) trait Handler:
     Service<Request<Incoming>, Response = Response<Body>, Error = Infallible, Future: Send>
     + Clone
@@ -78,47 +78,50 @@
 {
 }
 
-/// What every connection of a listener shares.
+/// Accept loop of a listener, and what its connections share.
 #[derive(Clone)]
 pub(crate) struct Acceptor {
-    /// Where connections that go wrong are noted.
+    /// Logger for failed connections.
     pub(crate) log: Logger,
     /// Limits on what a connection may send.
     pub(crate) limits: Limits,
-    /// Phase of the instance.
+    /// Lifecycle phase of the instance.
     pub(crate) phases: Arc<Phases>,
-    /// Connections that are open.
+    /// Tracker of the open connections.
     pub(crate) connections: TaskTracker,
 }
 
 impl Acceptor {
-    /// Serves `service` on every connection until the instance drains.
+    /// Accepts connections and serves `service` on each until the instance drains.
     pub(crate) async fn run(self, listener: TcpListener, service: impl Handler) {
-        let room = usize::try_from(self.limits.max_connections).unwrap_or(Semaphore::MAX_PERMITS);
-        let room = Arc::new(Semaphore::new(room));
+        let slots = usize::try_from(self.limits.max_connections).unwrap_or(Semaphore::MAX_PERMITS);
+        let slots = Arc::new(Semaphore::new(slots));
         loop {
-            // A connection that is made already is taken before the end.
+            // Connections already in the backlog are accepted before the loop ends.
             let accepted = tokio::select! {
                 biased;
                 accepted = listener.accept() => accepted,
                 () = self.phases.reached(Phase::Draining) => return,
             };
-            let Some(stream) = self.accepted(accepted).await else {
+            let Some(stream) = self.accepted_stream(accepted).await else {
                 continue;
             };
-            match Arc::clone(&room).try_acquire_owned() {
+            match Arc::clone(&slots).try_acquire_owned() {
                 Ok(permit) => self.spawn(stream, permit, service.clone()),
                 Err(_) => refuse(stream),
             }
         }
     }
 
-    async fn accepted(&self, accepted: io::Result<(TcpStream, SocketAddr)>) -> Option<TcpStream> {
+    async fn accepted_stream(
+        &self,
+        accepted: io::Result<(TcpStream, SocketAddr)>,
+    ) -> Option<TcpStream> {
         match accepted {
             Ok((stream, _)) => Some(stream),
             Err(err) => {
                 warn!(self.log, "connection not accepted"; "error" => %err);
-                time::sleep(Duration::from_millis(ACCEPT_PAUSE_MS)).await;
+                time::sleep(Duration::from_millis(ACCEPT_RETRY_DELAY_MS)).await;
                 None
             }
         }
@@ -134,12 +137,12 @@
 
     async fn serve(&self, stream: TcpStream, service: impl Handler) {
         let _ = stream.set_nodelay(true);
-        let began = Arc::new(AtomicBool::new(false));
+        let has_request = Arc::new(AtomicBool::new(false));
         let phases = Arc::clone(&self.phases);
         let handler = service_fn({
-            let began = Arc::clone(&began);
+            let has_request = Arc::clone(&has_request);
             move |request: Request<Incoming>| {
-                began.store(true, Ordering::Relaxed);
+                has_request.store(true, Ordering::Relaxed);
                 let service = service.clone();
                 let phases = Arc::clone(&phases);
                 async move {
@@ -156,7 +159,7 @@
         tokio::pin!(connection);
         let first_head = time::sleep(self.limits.header_timeout());
         tokio::pin!(first_head);
-        let mut awaits_first = true;
+        let mut awaits_first_head = true;
         let shutdown = time::sleep(Duration::ZERO);
         tokio::pin!(shutdown);
         let (mut is_draining, mut is_shut_down) = (false, false);
@@ -165,23 +168,23 @@
                 ended = connection.as_mut() => {
                     let Err(err) = ended else { return };
                     debug!(self.log, "connection ended early"; "error" => %err);
-                    if is_timeout(&*err) && !began.load(Ordering::Relaxed) {
-                        too_slow(&stream);
+                    if is_timeout(&*err) && !has_request.load(Ordering::Relaxed) {
+                        refuse_slow(&stream);
                     }
                     return;
                 }
-                () = &mut first_head, if awaits_first => {
-                    awaits_first = false;
-                    if !began.load(Ordering::Relaxed) {
-                        return too_slow(&stream);
+                () = &mut first_head, if awaits_first_head => {
+                    awaits_first_head = false;
+                    if !has_request.load(Ordering::Relaxed) {
+                        return refuse_slow(&stream);
                     }
                 }
                 () = self.phases.reached(Phase::Draining), if !is_draining => {
                     is_draining = true;
-                    let wait = if began.load(Ordering::Relaxed) {
+                    let wait = if has_request.load(Ordering::Relaxed) {
                         Duration::ZERO
                     } else {
-                        FIRST_REQUEST_WAIT
+                        FIRST_REQUEST_TIMEOUT
                     };
                     shutdown.as_mut().reset(Instant::now() + wait);
                 }
@@ -194,24 +197,24 @@
     }
 
     fn builder(&self) -> auto::Builder<TokioExecutor> {
-        let head_bytes = usize::try_from(self.limits.header_bytes).unwrap_or(usize::MAX);
+        let max_head_bytes = usize::try_from(self.limits.header_bytes).unwrap_or(usize::MAX);
         let mut builder = auto::Builder::new(TokioExecutor::new());
         builder
             .http1()
             .timer(TokioTimer::new())
             .header_read_timeout(self.limits.header_timeout())
-            .max_buf_size(head_bytes);
+            .max_buf_size(max_head_bytes);
         builder
             .http2()
             .timer(TokioTimer::new())
-            .max_header_list_size(u32::try_from(head_bytes).unwrap_or(u32::MAX))
-            .max_concurrent_streams(MAX_STREAMS);
+            .max_header_list_size(u32::try_from(max_head_bytes).unwrap_or(u32::MAX))
+            .max_concurrent_streams(MAX_HTTP2_STREAMS);
         builder
     }
 }
 
-/// An instance that leaves keeps no connection of HTTP/1.1 open for another
-/// request; HTTP/2 has its own notice.
+/// Closes an HTTP/1.1 connection after this response if the instance is leaving.
+/// HTTP/2 connections get a GOAWAY frame instead.
 fn close_if_leaving(phases: &Phases, version: Version, response: &mut Response<Body>) {
     if version < Version::HTTP_2 && phases.is_leaving() {
         response
@@ -225,13 +228,13 @@
         .is_some_and(hyper::Error::is_timeout)
 }
 
-fn too_slow(stream: &SharedStream) {
+fn refuse_slow(stream: &SharedStream) {
     metrics::counter!("savoryvane_slow_connections_total").increment(1);
-    stream.write_last(TOO_SLOW);
+    stream.write_last(TIMEOUT_RESPONSE);
 }
 
 fn refuse(stream: TcpStream) {
     metrics::counter!("savoryvane_connections_refused_total").increment(1);
-    // A socket that was just accepted has room for these few bytes.
-    let _ = stream.try_write(TOO_MANY);
+    // The send buffer of a newly accepted socket has space for these few bytes.
+    let _ = stream.try_write(OVERLOAD_RESPONSE);
 }
