--- a/crates/server/src/admin.rs
+++ b/crates/server/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' interface, on a listener and with a credential of its own.
+//! The operators' HTTP interface, which has its own listener and credential.
 
 mod failure;
 mod views;
@@ -26,19 +26,19 @@
     placement,
 };
 
-/// Media type of metrics.
+/// Media type of the Prometheus text format.
 const METRICS_TYPE: &str = "text/plain; version=0.0.4";
 
-/// Age of the own state from which a plan carries a warning, in ms.
-const OLD_STATE_MS: u64 = 4_000;
+/// Age of the configuration above which a plan carries a warning, in ms.
+const STALE_STATE_MS: u64 = 4_000;
 
-/// Time that a plan waits for an instance that has just started.
-const START_WAIT: Duration = Duration::from_secs(1);
+/// Time that a plan request waits for the instance to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An answer or an error with its status.
+/// Response to an operator, or an error with its HTTP status.
 type Reply = Result<Response<Body>, Failure>;
 
-/// Builds the service of the operators' listener.
+/// Builds the service for the operators' listener.
 pub(crate) fn service(
     shared: Arc<Shared>,
 ) -> BoxCloneSyncService<Request<Incoming>, Response<Body>, Infallible> {
@@ -56,7 +56,7 @@
 
 async fn handle(shared: &Arc<Shared>, request: Request<Incoming>) -> Reply {
     let path = request.uri().path().to_owned();
-    // Metrics carry no secret, and collectors have no credential of operators.
+    // Metrics contain no secrets, and collectors don't have the operators' credential.
     if path == "/metrics" && request.method() == Method::GET {
         let text = shared.meters.render();
         return Ok(http_body::with_type(StatusCode::OK, METRICS_TYPE, text));
@@ -67,7 +67,7 @@
         ("POST", "/admin/v1/confirmations") => confirm(shared, request).await,
         ("POST", "/admin/v1/drain") => drain(shared, request).await,
         ("GET", "/admin/v1/status") => ok(&views::status(shared)),
-        ("GET", "/admin/v1/reach") => ok(&views::reach(shared, asked_offset(&request)?)),
+        ("GET", "/admin/v1/reach") => ok(&views::reach(shared, query_offset(&request)?)),
         ("GET", "/admin/v1/objects") => ok(&views::objects(shared)),
         ("GET", "/admin/v1/history") => ok(&views::history(shared)),
         ("GET", "/admin/v1/instances") => ok(&views::instances(shared)),
@@ -84,9 +84,9 @@
 
 fn authenticate(shared: &Shared, request: &Request<Incoming>) -> Result<(), Failure> {
     let expected = &shared.settings.admin_credential_sha256;
-    let is_right = credential::presented(request.headers())
+    let is_valid = credential::presented(request.headers())
         .is_some_and(|credential| credential::matches(credential, expected));
-    if is_right {
+    if is_valid {
         return Ok(());
     }
     metrics::counter!("savoryvane_admin_unauthorized_total").increment(1);
@@ -110,15 +110,15 @@
                 "name the operator with lower-case letters, digits, `-` or `.`",
             )
         })?;
-    let intent: Intent = body(shared, request).await?;
-    // One that has just started reads the configuration at this moment.
-    let _ = time::timeout(START_WAIT, shared.phases.reached(Phase::Serving)).await;
+    let intent: Intent = parse_body(shared, request).await?;
+    // An instance that has just started is still reading the configuration.
+    let _ = time::timeout(READY_TIMEOUT, shared.phases.reached(Phase::Serving)).await;
     let progress = shared.configuration.progress(shared.clock.now_ms());
     if !progress.has_started {
         return Err(Failure::new(
             StatusCode::SERVICE_UNAVAILABLE,
-            "this instance has no configuration yet, so it can't tell what would change",
-            "ask another instance, or again when this one is ready",
+            "this instance has no configuration yet, so it can't compute a plan",
+            "use another instance, or retry when this one is ready",
         ));
     }
     let state = shared.configuration.state();
@@ -141,20 +141,22 @@
     }
 }
 
-/// Warns when the plan was made from a state that may be old.
+/// Returns a warning if the plan is based on a configuration that may be stale.
 fn age_warning(progress: Progress) -> Option<String> {
     match progress.age_ms {
-        Some(age_ms) if age_ms <= OLD_STATE_MS => None,
+        Some(age_ms) if age_ms <= STALE_STATE_MS => None,
         Some(age_ms) => Some(format!(
-            "this instance last knew {} s ago that its configuration is the newest",
+            "this instance last confirmed {} s ago that its configuration is the latest",
             age_ms / 1_000
         )),
-        None => Some("this instance never knew its configuration to be the newest".to_owned()),
+        None => Some(
+            "this instance has not yet confirmed that its configuration is the latest".to_owned(),
+        ),
     }
 }
 
 async fn confirm(shared: &Shared, request: Request<Incoming>) -> Reply {
-    let plan: Plan = body(shared, request).await?;
+    let plan: Plan = parse_body(shared, request).await?;
     let id = plan.change.id.clone();
     let offset = confirm::confirm(shared, plan).await?;
     let reach = views::reach(shared, offset);
@@ -162,16 +164,16 @@
 }
 
 async fn drain(shared: &Shared, request: Request<Incoming>) -> Reply {
-    let drain: Drain = body(shared, request).await?;
+    let drain: Drain = parse_body(shared, request).await?;
     let own = &shared.settings.instance;
     if drain.instance != *own {
         return Err(Failure::new(
             StatusCode::CONFLICT,
             format!("this is instance {own}, not {}", drain.instance),
-            "ask the instance that is meant",
+            "send the request to that instance",
         ));
     }
-    info!(shared.log, "drain asked for by an operator");
+    info!(shared.log, "drain requested by an operator");
     shared.phases.advance(Phase::Leaving);
     Ok(http_body::with_type(
         StatusCode::ACCEPTED,
@@ -180,7 +182,7 @@
     ))
 }
 
-fn asked_offset(request: &Request<Incoming>) -> Result<Offset, Failure> {
+fn query_offset(request: &Request<Incoming>) -> Result<Offset, Failure> {
     request
         .uri()
         .query()
@@ -195,12 +197,12 @@
             Failure::new(
                 StatusCode::BAD_REQUEST,
                 "the query has no offset",
-                "ask for /admin/v1/reach?offset=N",
+                "use /admin/v1/reach?offset=N",
             )
         })
 }
 
-async fn body<T: DeserializeOwned>(
+async fn parse_body<T: DeserializeOwned>(
     shared: &Shared,
     request: Request<Incoming>,
 ) -> Result<T, Failure> {
@@ -214,7 +216,7 @@
     serde_json::from_slice(&bytes).map_err(|err| {
         Failure::new(
             StatusCode::BAD_REQUEST,
-            format!("the body is not what is asked for here: {err}"),
+            format!("the body is not valid for this request: {err}"),
             "see docs/API.md for the body of this request",
         )
     })
--- a/crates/server/src/admin/failure.rs
+++ b/crates/server/src/admin/failure.rs
@@ -1,4 +1,4 @@
-//! Errors of the operators' interface.
+//! Error responses of the operators' interface.
 
 use http::{HeaderValue, Response, StatusCode, header};
 use savoryvane_wire::admin::AdminError;
@@ -10,7 +10,7 @@
     instance::Shared,
 };
 
-/// An error of this interface.
+/// An error response.
 #[derive(Debug)]
 pub(super) struct Failure {
     status: StatusCode,
@@ -19,7 +19,7 @@
 }
 
 impl Failure {
-    /// Creates an error with what the operator can do about it.
+    /// Creates an error; `next_step` says what the operator can do about it.
     pub(super) fn new(
         status: StatusCode,
         error: impl Into<String>,
@@ -48,7 +48,7 @@
             ),
             BodyError::Broken => Self::new(
                 StatusCode::BAD_REQUEST,
-                "the body broke off",
+                "the body is incomplete or malformed",
                 "send it again",
             ),
         }
@@ -75,7 +75,7 @@
     }
 }
 
-/// Logs an error and answers with it.
+/// Logs an error and builds its response.
 pub(super) fn answer(shared: &Shared, path: &str, failure: Failure) -> Response<Body> {
     let Failure {
         status,
--- a/crates/server/src/admin/views.rs
+++ b/crates/server/src/admin/views.rs
@@ -1,11 +1,11 @@
-//! What operators are shown of an instance and of what it knows.
+//! Views of the instance and the fleet for operators.
 
 use savoryvane_core::{ids::Offset, objects::Object, roster::ListedInstance};
 use savoryvane_wire::admin::{BackendView, HistoryEntry, InstanceView, Reach, Status};
 
 use crate::{instance::Shared, members, phase::Phase};
 
-/// Returns what this instance says of itself.
+/// Returns the status of this instance.
 pub(super) fn status(shared: &Shared) -> Status {
     let phase = shared.phases.current();
     let progress = shared.configuration.progress(shared.clock.now_ms());
@@ -21,16 +21,16 @@
     }
 }
 
-/// Counts what is known to have an offset in force. Instances of other zones are
-/// known by their zone's digest only.
+/// Counts the instances that are known to have applied the change at `offset`.
+/// Instances of other zones are known only through the digest of their zone.
 pub(super) fn reach(shared: &Shared, offset: Offset) -> Reach {
     members::tell_own_state(shared);
-    let spread = shared.members.membership().propagation(offset);
+    let propagation = shared.members.membership().propagation(offset);
     Reach {
         offset,
-        in_force: spread.in_force,
-        listed: spread.listed,
-        missing: spread.missing,
+        in_force: propagation.in_force,
+        listed: propagation.listed,
+        missing: propagation.missing,
     }
 }
 
@@ -39,7 +39,7 @@
     shared.configuration.state().objects().collect()
 }
 
-/// Returns the changes that are remembered, as decided.
+/// Returns the recorded changes with their results.
 pub(super) fn history(shared: &Shared) -> Vec<HistoryEntry> {
     let state = shared.configuration.state();
     let entries = state.history().map(|entry| HistoryEntry {
@@ -51,7 +51,7 @@
     entries.collect()
 }
 
-/// Returns what is known of the instances, this one first.
+/// Returns the known state of all instances, this one first.
 pub(super) fn instances(shared: &Shared) -> Vec<InstanceView> {
     let now_ms = shared.clock.now_ms();
     let membership = shared.members.membership();
@@ -68,14 +68,17 @@
             }),
     );
     let own_zone = &shared.settings.zone;
-    let others = membership.listed().iter().filter(|l| l.zone != *own_zone);
-    views.extend(others.map(|listed| {
+    let remote = membership
+        .listed()
+        .iter()
+        .filter(|listed| listed.zone != *own_zone);
+    views.extend(remote.map(|listed| {
         let zone = membership.zones().get(&listed.zone);
-        let is_known = zone.is_some_and(|zone| zone.digest().silent == 0);
+        let is_known_live = zone.is_some_and(|zone| zone.digest().silent == 0);
         InstanceView {
             name: listed.instance.clone(),
             zone: listed.zone.clone(),
-            state: far_state(listed, is_known).to_owned(),
+            state: remote_state(listed, is_known_live).to_owned(),
             config_next: zone.map(|zone| zone.digest().config_min),
             age_ms: zone.map(|zone| zone.age_ms(now_ms)),
         }
@@ -83,10 +86,10 @@
     views
 }
 
-/// Of another zone only the digest is known: its instances are live when it says
-/// that none is silent.
-fn far_state(listed: &ListedInstance, is_known: bool) -> &'static str {
-    match (listed.is_leaving, is_known) {
+/// Returns the state of an instance in another zone. Only the digest of that zone
+/// is known: its instances count as live if the digest reports none as silent.
+fn remote_state(listed: &ListedInstance, is_known_live: bool) -> &'static str {
+    match (listed.is_leaving, is_known_live) {
         (true, _) => "leaving",
         (false, true) => "live",
         (false, false) => "listed",
@@ -108,7 +111,7 @@
     }
 }
 
-/// Returns what is known of the backend servers.
+/// Returns the known state of the backend servers.
 pub(super) fn backends(shared: &Shared) -> Vec<BackendView> {
     let now_ms = shared.clock.now_ms();
     let fleet = shared.fleet();
