--- a/crates/server/src/configuration.rs
+++ b/crates/server/src/configuration.rs
@@ -1,5 +1,5 @@
-//! The configuration in force on this instance: one follower that changes it,
-//! any number of readers that never wait.
+//! The configuration in force on this instance, updated by one follower and read
+//! without blocking.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -15,33 +15,33 @@
 
 use crate::lock::lock;
 
-/// Publishes the state of the follower.
+/// Runs the configuration follower and publishes its state.
 #[derive(Debug)]
 pub(crate) struct Configuration {
     fleet: Arc<Mutex<Fleet>>,
     published: ArcSwap<State>,
     next: watch::Sender<Offset>,
     follower: Mutex<Follower>,
-    work: mpsc::UnboundedSender<Action>,
+    actions: mpsc::UnboundedSender<Action>,
 }
 
 impl Configuration {
-    /// Starts with the state before the first record; `fleet` is told of every
-    /// change before anyone can read it. The receiver gets the actions that
-    /// take time, at most one of each kind at once.
+    /// Starts with the state before the first record. Every change is applied to
+    /// `fleet` before it becomes readable. The receiver gets the actions to run
+    /// asynchronously, at most one of each kind at a time.
     pub(crate) fn new(
         settings: FollowerSettings,
         fleet: Arc<Mutex<Fleet>>,
     ) -> (Self, mpsc::UnboundedReceiver<Action>) {
-        let (work, asked) = mpsc::unbounded_channel();
+        let (actions, action_receiver) = mpsc::unbounded_channel();
         let configuration = Self {
             fleet,
             published: ArcSwap::from_pointee(State::new()),
             next: watch::Sender::new(Offset::default()),
             follower: Mutex::new(Follower::new(settings)),
-            work,
+            actions,
         };
-        (configuration, asked)
+        (configuration, action_receiver)
     }
 
     /// Returns the configuration in force.
@@ -49,23 +49,23 @@
         self.published.load_full()
     }
 
-    /// Watches the offset that is expected next.
+    /// Returns a receiver of the next expected offset.
     pub(crate) fn watch(&self) -> watch::Receiver<Offset> {
         self.next.subscribe()
     }
 
-    /// Returns how far the follower is.
+    /// Returns the progress of the follower.
     pub(crate) fn progress(&self, now_ms: u64) -> Progress {
         self.lock().progress(now_ms)
     }
 
-    /// Returns what the follower has ignored.
+    /// Returns the counts of ignored records.
     pub(crate) fn ignored(&self) -> IgnoredCounts {
         self.lock().ignored()
     }
 
-    /// Returns the head of the stream and the last records from `from` on, if
-    /// they are all kept.
+    /// Returns the head of the stream and the records from `from` on, or `None` if
+    /// the follower no longer retains all of them.
     pub(crate) fn recent(&self, now_ms: u64, from: Offset) -> Option<(Head, Vec<Received>)> {
         let follower = self.lock();
         let records = follower.recent(now_ms, from);
@@ -73,21 +73,21 @@
         (!records.is_empty()).then_some((head, records))
     }
 
-    /// Gives the follower an event and publishes the state when it changed.
+    /// Passes an event to the follower and publishes the state if it changed.
     pub(crate) fn on_event(&self, now_ms: u64, event: Event) -> Vec<Action> {
         let mut follower = self.lock();
-        let before = follower.state().next();
+        let previous_next = follower.state().next();
         let actions = follower.on_event(now_ms, event);
-        if follower.state().next() != before {
+        if follower.state().next() != previous_next {
             self.publish(follower.state());
         }
         actions
     }
 
-    /// Hands an action that takes time to the task that does such actions.
+    /// Queues an action for the task that runs actions asynchronously.
     pub(crate) fn ask(&self, action: Action) {
-        // The receiver is gone only when the instance ends.
-        let _ = self.work.send(action);
+        // The receiver is dropped only when the instance ends.
+        let _ = self.actions.send(action);
     }
 
     fn publish(&self, state: &State) {
