--- a/crates/server/src/settings.rs
+++ b/crates/server/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry instance, read from one YAML file.
+//! Settings of an entry instance, loaded from a YAML file.
 
 use std::{fs, net::SocketAddr, path::Path, time::Duration};
 
@@ -13,7 +13,7 @@
     placement_settings::{self, Placement},
 };
 
-/// Largest settings file that is read, in bytes.
+/// Maximum size of a settings file, in bytes.
 const MAX_FILE_BYTES: usize = 16 * 1024;
 const LOG_FORMS: [(&str, LogForm); 2] = [("json", LogForm::Json), ("terminal", LogForm::Terminal)];
 const LOG_LEVELS: [(&str, LogLevel); 4] = [
@@ -22,209 +22,210 @@
     ("info", LogLevel::Info),
     ("debug", LogLevel::Debug),
 ];
-/// Longest duration that a setting takes, in ms.
+/// Maximum of the settings that are durations, in ms.
 const MAX_DURATION_MS: u64 = 3_600_000;
-/// Longest time that an idempotency key can be remembered, in ms.
-const MAX_WINDOW_MS: u64 = 86_400_000;
-/// Time that an idempotency key is remembered when nothing is set, in ms.
-const DEFAULT_WINDOW_MS: u64 = 600_000;
+/// Maximum retention of an idempotency key, in ms.
+const MAX_CLAIM_WINDOW_MS: u64 = 86_400_000;
+/// Default retention of an idempotency key, in ms.
+const DEFAULT_CLAIM_WINDOW_MS: u64 = 600_000;
 
-/// Shortest time for which a request that ends servers is refused, in ms: with less, its
-/// trials would end servers about as often as they start.
+/// Minimum time for which a request that crashes servers is quarantined, in ms. With a
+/// shorter time, its trial runs would crash servers about as often as they start.
 const MIN_QUARANTINE_MS: u64 = 10_000;
-/// Longest such time, in ms: a day, by which servers have been mended or replaced.
+/// Maximum quarantine time, in ms: one day, after which servers are repaired or replaced.
 const MAX_QUARANTINE_MS: u64 = 86_400_000;
-/// Most requests that may be remembered: some 30 MB.
-const MOST_QUARANTINED: u64 = 100_000;
-/// Most ends that may be told in one message, which fit it.
-const MOST_TOLD_AT_ONCE: u64 = 4_096;
+/// Upper bound of `max_requests`; so many quarantined requests take about 30 MB.
+const MAX_QUARANTINED_REQUESTS: u64 = 100_000;
+/// Upper bound of `told_at_once`, the crashes reported in one message; so many fit in a
+/// message.
+const MAX_TOLD_AT_ONCE: u64 = 4_096;
 
-/// Everything that an entry instance is told from outside.
+/// Settings of an entry instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Name of the instance.
     pub instance: InstanceName,
-    /// Availability zone that it stands in.
+    /// Availability zone of the instance.
     pub zone: ZoneName,
-    /// Region of that zone.
+    /// Region of the availability zone.
     pub region: RegionName,
-    /// Addresses that it listens on.
+    /// Addresses that the instance listens on.
     pub listen: Listen,
-    /// The platform's services.
+    /// Connection to the platform's services.
     pub platform: Platform,
     /// SHA-256 of the operators' credential, in lower-case hex.
     pub admin_credential_sha256: String,
-    /// How it logs.
+    /// Logging.
     pub log: Log,
-    /// What it takes from callers.
+    /// Limits on requests and connections.
     pub limits: Limits,
-    /// How it treats backend servers.
+    /// Connections to backend servers.
     pub backends: Backends,
-    /// How it runs what may not be run twice.
+    /// Idempotency keys and tickets of non-idempotent requests.
     pub claims: Claims,
-    /// How long requests that end servers are refused, and how many are remembered.
+    /// Quarantine of requests that crash servers.
     pub quarantine: QuarantineSettings,
-    /// How it stops.
+    /// Graceful shutdown.
     pub drain: Drain,
-    /// How models are placed.
+    /// Placement of models on backend servers.
     pub placement: Placement,
 }
 
-/// Addresses that an instance listens on; port 0 takes any free one.
+/// Addresses that an instance listens on; port 0 selects any free port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Listen {
-    /// For callers.
+    /// Address for callers.
     pub caller: SocketAddr,
-    /// For other instances.
+    /// Address for other instances.
     pub peer: SocketAddr,
-    /// For operators, and for metrics at `/metrics`.
+    /// Address for operators, and for metrics at `/metrics`.
     pub admin: SocketAddr,
 }
 
-/// Where the platform's services are.
+/// Connection to the platform's services.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Platform {
     /// Address of the append-only log.
     pub log: SocketAddr,
-    /// Address of the list of instances.
+    /// Address of the instance list.
     pub list: SocketAddr,
-    /// Time for which the log keeps a record, in ms.
+    /// Retention time of records in the log, in ms.
     pub retention_ms: u64,
-    /// Time for which one read of the log waits for a record, in ms.
+    /// Time for which a read of the log waits for a record, in ms.
     pub wait_ms: u64,
-    /// Time for an append or a read to be answered, in ms.
+    /// Timeout of an append or a read, in ms.
     pub timeout_ms: u64,
 }
 
-/// Form of a log line.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogForm {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// Text for people.
+    /// Human-readable text.
     Terminal,
 }
 
-/// Least severe log line that is written.
+/// Minimum severity of the log lines that are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogLevel {
-    /// Errors only.
+    /// Only errors.
     Error,
-    /// Also what an operator should look at.
+    /// Also warnings that an operator should investigate.
     Warn,
-    /// Also every decision.
+    /// Also each decision.
     Info,
-    /// Also what helps to find a fault.
+    /// Also details for debugging.
     Debug,
 }
 
-/// How an instance logs.
+/// Logging of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Log {
-    /// Form of a line.
+    /// Format of the lines.
     pub form: LogForm,
-    /// Least severe line that is written.
+    /// Minimum severity.
     pub level: LogLevel,
-    /// Lines that wait to be written before further ones are dropped.
+    /// Maximum number of buffered lines; further lines are dropped.
     pub buffer_lines: usize,
 }
 
-/// What an instance takes from callers and operators.
+/// Limits on requests and connections of callers and operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: u64,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: u64,
-    /// Time for a request's head to arrive, in ms.
+    /// Timeout for receiving a request head, in ms.
     pub header_timeout_ms: u64,
-    /// Time for a request's body to arrive, in ms.
+    /// Timeout for receiving a request body, in ms.
     pub body_timeout_ms: u64,
-    /// Requests in flight at the same time.
+    /// Maximum number of requests in flight.
     pub max_in_flight: u64,
-    /// Connections of callers open at the same time.
+    /// Maximum number of open connections per listener.
     pub max_connections: u64,
-    /// Longest deadline that a caller may ask for, in ms.
+    /// Maximum deadline of a request, relative to its arrival, in ms.
     pub max_deadline_ms: u64,
 }
 
-/// How an instance treats backend servers.
+/// Connections to backend servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backends {
-    /// Time for a connection to be made, in ms.
+    /// Connect timeout, in ms.
     pub connect_timeout_ms: u64,
-    /// Idle connections that are kept to one backend server.
+    /// Maximum number of idle connections per backend server.
     pub idle_connections: u64,
-    /// Time after which an idle connection is closed, in ms.
+    /// Idle time after which a connection is closed, in ms.
     pub idle_timeout_ms: u64,
-    /// Time without a byte after which a connection counts as silent, in ms.
+    /// Time without received bytes after which a connection counts as silent, in ms.
     pub silence_ms: u64,
-    /// Longest line of an answer, in bytes.
+    /// Maximum length of a line in a response, in bytes.
     pub line_bytes: u64,
-    /// Time between two reads of a backend server's load, in ms.
+    /// Interval between reads of a backend server's load, in ms.
     pub load_interval_ms: u64,
 }
 
-/// How an instance runs what may not be run twice.
+/// Idempotency keys and tickets of non-idempotent requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Claims {
-    /// Time that an idempotency key is remembered after its last use, in ms.
+    /// Retention time of an idempotency key after its last use, in ms.
     pub window_ms: u64,
-    /// Appends to the claim stream a second, of all instances together.
+    /// Maximum rate of appends to the claim stream, of all instances together.
     pub appends_per_s: u64,
-    /// Time that a ticket can be used, in ms.
+    /// Validity of a ticket, in ms.
     pub ticket_valid_ms: u64,
 }
 
-/// How an instance stops.
+/// Graceful shutdown of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Drain {
-    /// Time for which it still accepts connections after it has said that it is
-    /// not ready, in ms.
+    /// Time for which the instance still accepts connections after it reports itself
+    /// as not ready, in ms.
     pub grace_ms: u64,
-    /// Time for requests in flight to finish, in ms.
+    /// Time limit for finishing the requests in flight, in ms.
     pub timeout_ms: u64,
 }
 
 impl Settings {
-    /// Reads and checks the settings in the file at `path`.
+    /// Loads and validates the settings in the file at `path`.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Unreadable`] when there is no such file, and
-    /// [`Error::Settings`] with every problem when something in it is not allowed.
+    /// Returns [`Error::Unreadable`] if the file can't be read, and
+    /// [`Error::Settings`] with every problem if the settings are not valid.
     pub fn load(path: &Path) -> Result<Self> {
         load(path, read)
     }
 
-    /// Checks the settings in `text`.
+    /// Parses and validates the settings in `text`.
     ///
     /// # Errors
     ///
-    /// Returns every problem when something in it is not allowed.
+    /// Returns every problem if the settings are not valid.
     pub fn parse(text: &str) -> std::result::Result<Self, Problems> {
         check::read("settings", text.as_bytes(), &file_limits(), read)
     }
 }
 
 impl Limits {
-    /// Returns the time for a request's head to arrive.
+    /// Returns the timeout for receiving a request head.
     pub(crate) fn header_timeout(&self) -> Duration {
         Duration::from_millis(self.header_timeout_ms)
     }
 
-    /// Returns the time for a request's body to arrive.
+    /// Returns the timeout for receiving a request body.
     pub(crate) fn body_timeout(&self) -> Duration {
         Duration::from_millis(self.body_timeout_ms)
     }
 }
 
-/// Reads and checks settings of some kind in the file at `path`.
+/// Loads and validates the file at `path` with the section reader `read`.
 ///
 /// # Errors
 ///
-/// Returns [`Error::Unreadable`] when there is no such file, and
-/// [`Error::Settings`] with every problem when something in it is not allowed.
+/// Returns [`Error::Unreadable`] if the file can't be read, and
+/// [`Error::Settings`] with every problem if the settings are not valid.
 pub(crate) fn load<T>(path: &Path, read: impl FnOnce(&mut Fields<'_>) -> Option<T>) -> Result<T> {
     let text = file_limits()
         .read_file(path)
@@ -246,12 +247,12 @@
     let region = fields.name("region").map(RegionName::new);
     let listen = fields.section("listen", read_listen);
     let platform = fields.section("platform", read_platform);
-    let credential = fields.section("admin", read_admin);
+    let credential_sha256 = fields.section("admin", read_admin);
     let log = fields.section("log", read_log);
     let limits = fields.section("limits", read_limits);
     let backends = fields.section("backends", read_backends);
-    let longest_window_ms = longest_window_ms(platform.as_ref(), limits.as_ref());
-    let claims = fields.section("claims", |f| read_claims(f, longest_window_ms));
+    let max_window_ms = max_claim_window_ms(platform.as_ref(), limits.as_ref());
+    let claims = fields.section("claims", |f| read_claims(f, max_window_ms));
     let quarantine = fields.section("quarantine", read_quarantine);
     let drain = fields.section("drain", read_drain);
     let placement = fields.section("placement", placement_settings::read);
@@ -261,7 +262,7 @@
         region: region?,
         listen: listen?,
         platform: platform?,
-        admin_credential_sha256: credential?,
+        admin_credential_sha256: credential_sha256?,
         log: log?,
         limits: limits?,
         backends: backends?,
@@ -302,7 +303,7 @@
     let inline = fields.optional("credential_sha256", Fields::sha256);
     let file = fields.optional("credential_sha256_file", |fields, at| {
         let allowed = "a readable file with 64 lower-case hex digits";
-        fields.parsed(at, allowed, digest_in_file)
+        fields.parsed(at, allowed, read_digest_file)
     });
     match (inline?, file?) {
         (Some(digest), None) | (None, Some(digest)) => Some(digest),
@@ -318,7 +319,7 @@
     }
 }
 
-fn digest_in_file(path: &str) -> Option<String> {
+fn read_digest_file(path: &str) -> Option<String> {
     let text = fs::read_to_string(path).ok()?;
     let digest = text.trim();
     is_sha256(digest).then(|| digest.to_owned())
@@ -358,28 +359,29 @@
     })
 }
 
-/// A key has to be forgotten before the log forgets its first record.
-fn longest_window_ms(platform: Option<&Platform>, limits: Option<&Limits>) -> u64 {
+/// Returns the maximum retention of an idempotency key: the key must expire before the
+/// log drops the first record of its claim.
+fn max_claim_window_ms(platform: Option<&Platform>, limits: Option<&Limits>) -> u64 {
     let retention_ms = platform.map_or(MAX_DURATION_MS, |platform| platform.retention_ms);
-    let spare_ms = limits.map_or(0, |limits| 2 * limits.max_deadline_ms);
+    let margin_ms = limits.map_or(0, |limits| 2 * limits.max_deadline_ms);
     retention_ms
-        .saturating_sub(spare_ms)
-        .clamp(1, MAX_WINDOW_MS)
+        .saturating_sub(margin_ms)
+        .clamp(1, MAX_CLAIM_WINDOW_MS)
 }
 
-fn read_claims(fields: &mut Fields<'_>, longest_window_ms: u64) -> Option<Claims> {
-    let window_ms = DEFAULT_WINDOW_MS.min(longest_window_ms);
+fn read_claims(fields: &mut Fields<'_>, max_window_ms: u64) -> Option<Claims> {
+    let default_window_ms = DEFAULT_CLAIM_WINDOW_MS.min(max_window_ms);
     Some(Claims {
-        window_ms: fields.number("window_ms", 1..=longest_window_ms, window_ms),
+        window_ms: fields.number("window_ms", 1..=max_window_ms, default_window_ms),
         appends_per_s: fields.number("appends_per_s", 1..=10_000, 200),
         ticket_valid_ms: fields.number("ticket_valid_ms", 1_000..=MAX_DURATION_MS, 60_000),
     })
 }
 
-/// Reads how requests that end servers are refused.
+/// Reads the section on the quarantine of requests that crash servers.
 pub(crate) fn read_quarantine(fields: &mut Fields<'_>) -> Option<QuarantineSettings> {
     let default = QuarantineSettings::default();
-    let number = |count: usize| count as u64;
+    let to_u64 = |count: usize| count as u64;
     let quarantine_ms = fields.number(
         "quarantine_ms",
         MIN_QUARANTINE_MS..=MAX_QUARANTINE_MS,
@@ -387,13 +389,13 @@
     );
     let max_requests = fields.number(
         "max_requests",
-        1..=MOST_QUARANTINED,
-        number(default.max_requests),
+        1..=MAX_QUARANTINED_REQUESTS,
+        to_u64(default.max_requests),
     );
     let told_at_once = fields.number(
         "told_at_once",
-        1..=MOST_TOLD_AT_ONCE,
-        number(default.told_at_once),
+        1..=MAX_TOLD_AT_ONCE,
+        to_u64(default.told_at_once),
     );
     Some(QuarantineSettings {
         quarantine_ms,
