--- a/crates/server/src/bin/savoryvane/app.rs
+++ b/crates/server/src/bin/savoryvane/app.rs
@@ -1,4 +1,4 @@
-//! Runs the program and turns what became of it into an exit code.
+//! Runs the program and maps its result to an exit code.
 
 use std::{
     io::{self, Write},
@@ -14,25 +14,25 @@
     flags::Savoryvane,
 };
 
-/// It did what it was asked; a stop interrupted nothing.
+/// Success; a stop interrupted no request.
 const EXIT_OK: u8 = 0;
-/// It could not start, or the system refused something.
+/// The process could not start, or a system call failed.
 const EXIT_FAILED: u8 = 1;
-/// The command line is wrong.
+/// The command line is invalid.
 const EXIT_USAGE: u8 = 2;
-/// The settings are wrong.
+/// The settings are invalid or unreadable.
 const EXIT_SETTINGS: u8 = 3;
 /// The drain timeout passed with requests in flight.
 const EXIT_DRAIN_TIMEOUT: u8 = 4;
-/// A second signal ended it at once.
+/// A second signal ended the process without a complete drain.
 const EXIT_SECOND_SIGNAL: u8 = 5;
 
-/// Runs the program.
+/// Runs the program and returns its exit code.
 pub(crate) fn run() -> ExitCode {
     let flags = match Savoryvane::from_env() {
         Ok(flags) => flags,
         Err(err) if err.is_help() => return print(&err.to_string()),
-        Err(err) => return usage(&err.to_string()),
+        Err(err) => return fail_usage(&err.to_string()),
     };
     match config::mode(flags) {
         Ok(Mode::Version) => print(concat!("savoryvane ", env!("CARGO_PKG_VERSION"))),
@@ -40,7 +40,7 @@
         Ok(Mode::Check(file, Kind::Gateway)) => check(GatewaySettings::load(&file)),
         Ok(Mode::Serve(file, Kind::Entry)) => serve(&file),
         Ok(Mode::Serve(file, Kind::Gateway)) => serve_gateway(&file),
-        Err(reason) => usage(reason),
+        Err(reason) => fail_usage(reason),
     }
 }
 
@@ -67,7 +67,7 @@
         Ok(code) => ExitCode::from(code),
         Err(err) => fail(&err),
     };
-    // What is left are operators' connections, which end with the process.
+    // Only operators' connections are still open; they end with the process.
     runtime.shutdown_background();
     code
 }
@@ -75,7 +75,7 @@
 async fn serve_until_stopped(settings: Settings) -> Result<u8, Error> {
     let mut signals = Signals::new().map_err(|err| Error::System("signals", err))?;
     let instance = Instance::start(settings).await?;
-    announce(&instance);
+    print_addresses(&instance);
     tokio::select! {
         () = signals.next() => {}
         () = instance.leaving() => {}
@@ -89,8 +89,8 @@
     }
 }
 
-/// Everything of a forwarding instance runs on one thread: it has a part of a
-/// core, and each further thread costs memory.
+/// Runs a gateway on one thread: a gateway has a fraction of a core, and each
+/// further thread costs memory.
 fn serve_gateway(file: &Path) -> ExitCode {
     let settings = match GatewaySettings::load(file) {
         Ok(settings) => settings,
@@ -128,13 +128,13 @@
                 Ended::TimedOut => EXIT_DRAIN_TIMEOUT,
             }),
             () = signals.next() => return Ok(EXIT_SECOND_SIGNAL),
-            // It listens on what it was started with until its end.
+            // Ignores reloads: a gateway keeps the settings that it was started with.
             _ = reload.recv() => {}
         }
     }
 }
 
-/// Signals that ask the process to stop.
+/// Signals that request a stop of the process.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -156,8 +156,8 @@
     }
 }
 
-/// Scripts read the ports that were taken from this line.
-fn announce(instance: &Instance) {
+/// Prints the bound addresses; scripts read the selected ports from this line.
+fn print_addresses(instance: &Instance) {
     let addresses = instance.addresses();
     print(&format!(
         "listening caller={} peer={} admin={}",
@@ -165,7 +165,7 @@
     ));
 }
 
-/// Writes a line; a reader that has gone is no reason to fail.
+/// Prints a line to standard output. A closed reader is not an error.
 fn print(text: &str) -> ExitCode {
     let mut out = io::stdout().lock();
     let _ = writeln!(out, "{}", text.trim_end());
@@ -173,19 +173,19 @@
     ExitCode::from(EXIT_OK)
 }
 
-fn usage(reason: &str) -> ExitCode {
-    complain(&format!("{reason}\nsee `savoryvane --help`"));
+fn fail_usage(reason: &str) -> ExitCode {
+    print_error(&format!("{reason}\nsee `savoryvane --help`"));
     ExitCode::from(EXIT_USAGE)
 }
 
 fn fail(err: &Error) -> ExitCode {
-    complain(&err.to_string());
+    print_error(&err.to_string());
     ExitCode::from(match err {
         Error::Unreadable(..) | Error::Settings(..) => EXIT_SETTINGS,
         _ => EXIT_FAILED,
     })
 }
 
-fn complain(text: &str) {
+fn print_error(text: &str) {
     let _ = writeln!(io::stderr().lock(), "{text}");
 }
--- a/crates/server/src/bin/savoryvane/config.rs
+++ b/crates/server/src/bin/savoryvane/config.rs
@@ -1,34 +1,34 @@
-//! Finds out what the command line asks for.
+//! Selects the mode of operation from the command line.
 
 use std::path::PathBuf;
 
 use crate::flags::Savoryvane;
 
-/// What the program is asked to do.
+/// Mode of operation.
 #[derive(Debug)]
 pub(crate) enum Mode {
-    /// Print the version.
+    /// Prints the version.
     Version,
-    /// Check the settings in a file.
+    /// Checks the settings in a file.
     Check(PathBuf, Kind),
-    /// Serve with the settings in a file.
+    /// Serves requests with the settings in a file.
     Serve(PathBuf, Kind),
 }
 
 /// Kind of instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Kind {
-    /// It runs pipelines.
+    /// An entry instance, which runs pipelines.
     Entry,
-    /// It forwards requests.
+    /// A gateway, which forwards requests.
     Gateway,
 }
 
-/// Turns the flags into a mode.
+/// Converts the flags to a mode.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the command line.
+/// Returns a message if the combination of flags is invalid.
 pub(crate) fn mode(flags: Savoryvane) -> Result<Mode, &'static str> {
     if flags.version {
         return Ok(Mode::Version);
--- a/crates/server/src/bin/savoryvane/flags.rs
+++ b/crates/server/src/bin/savoryvane/flags.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line flags.
 
 use std::path::PathBuf;
 
--- a/crates/server/src/bin/savoryvane/main.rs
+++ b/crates/server/src/bin/savoryvane/main.rs
@@ -1,4 +1,4 @@
-//! The entry instance of savoryvane.
+//! The `savoryvane` program: runs an entry instance or a gateway.
 
 mod app;
 mod config;
--- a/crates/server/src/clock.rs
+++ b/crates/server/src/clock.rs
@@ -1,17 +1,17 @@
-//! The runtime's clock, in the milliseconds that the core decides by.
+//! Clocks: the monotonic clock for decisions of the core, and the system clock.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use tokio::time::Instant;
 
-/// Counts milliseconds of the runtime's clock from its own start.
+/// Monotonic clock of the runtime, in milliseconds since its start.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     start: Instant,
 }
 
 impl Clock {
-    /// Starts counting.
+    /// Starts the clock.
     pub(crate) fn start() -> Self {
         Self {
             start: Instant::now(),
@@ -29,10 +29,12 @@
     }
 }
 
-/// Returns the time since the Unix epoch by the system's clock, in ms; for
-/// what people read only, never for a decision.
+/// Returns the system time since the Unix epoch, in ms. It is only for display,
+/// never for decisions.
 pub(crate) fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .map_or(0, |age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX))
+        .map_or(0, |elapsed| {
+            u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
+        })
 }
--- a/crates/server/src/controller.rs
+++ b/crates/server/src/controller.rs
@@ -173,9 +173,9 @@
         let is_on_time = now_ms <= self.deadline_at_ms;
         let meters = &self.shared.meters;
         for usage in &completion.stages {
-            meters.stage(&self.workspace, &self.pipeline, usage);
+            meters.record_stage(&self.workspace, &self.pipeline, usage);
         }
-        meters.answered(
+        meters.record_answer(
             &self.workspace,
             &self.pipeline,
             completion.outcome,
--- a/crates/server/src/error.rs
+++ b/crates/server/src/error.rs
@@ -1,4 +1,4 @@
-//! The one error type of the entry instance.
+//! Error type of this crate.
 
 use std::{io, net::SocketAddr, path::PathBuf};
 
@@ -7,7 +7,7 @@
 use savoryvane_check::Problems;
 
 quick_error! {
-    /// Why an entry instance can't start or has to stop.
+    /// Error that keeps an instance from starting or ends the process.
     #[derive(Debug)]
     #[non_exhaustive]
     pub enum Error {
@@ -16,16 +16,16 @@
             display("{}: can't be read: {}", path.display(), err)
             source(err)
         }
-        /// The settings are not valid; every problem is listed.
+        /// The settings are not valid; the error lists every problem.
         Settings(problems: Problems) {
             display("{problems}")
         }
-        /// An address can't be listened on.
-        Listen(what: &'static str, addr: SocketAddr, err: io::Error) {
-            display("can't listen for {what} on {addr}: {err}")
+        /// The instance can't listen on an address.
+        Listen(purpose: &'static str, addr: SocketAddr, err: io::Error) {
+            display("can't listen for {purpose} on {addr}: {err}")
             source(err)
         }
-        /// The operating system refused something that the process needs.
+        /// A call to the operating system failed.
         System(what: &'static str, err: io::Error) {
             display("{what}: {err}")
             source(err)
@@ -33,5 +33,5 @@
     }
 }
 
-/// Result of an operation of the entry instance.
+/// Result type of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,5 +1,5 @@
-//! The entry instance of savoryvane: sockets and timers round the decisions of
-//! the core.
+//! The server processes of savoryvane: entry instances and gateways. This crate
+//! does the I/O and timing; `savoryvane-core` makes the decisions.
 
 mod admin;
 mod answers;
--- a/crates/server/src/lock.rs
+++ b/crates/server/src/lock.rs
@@ -1,9 +1,10 @@
-//! Locking what threads share, for a few steps without waiting.
+//! Locks for state shared between threads, held only briefly and never across an
+//! await.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex. Nothing panics half-way through a change of what it guards, so that its
-/// contents are whole also after a panic.
+/// Locks a mutex and ignores poisoning. No code panics half-way through a change of the
+/// guarded data, so the data is consistent even after a panic.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/server/src/logging.rs
+++ b/crates/server/src/logging.rs
@@ -1,5 +1,5 @@
-//! Builds the logger. A line that can't be written is dropped and counted, so
-//! that logging never blocks a request.
+//! Logging. Lines that don't fit in the buffer are dropped and counted, so that
+//! logging never blocks a request.
 
 use std::{io, sync::mpsc, thread, time::Duration};
 
@@ -9,17 +9,17 @@
 
 use crate::settings::{Log, LogForm, LogLevel, Settings};
 
-/// Time for the last lines to be written when the process ends.
+/// Time limit for writing the buffered lines when the process ends.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Builds the logger that `settings` asks for; it writes to standard error.
+/// Builds a logger as configured in `settings` that writes to standard error.
 pub(crate) fn build(settings: &Settings) -> Logger {
     let (instance, zone) = (&settings.instance, &settings.zone);
     build_to(io::stderr(), &settings.log, instance, zone)
 }
 
-/// Builds a logger that writes to `out`, with the name and zone of the instance
-/// on each line.
+/// Builds a logger that writes to `out` and adds the name and zone of the instance
+/// to each line.
 pub(crate) fn build_to(
     out: impl io::Write + Send + 'static,
     log: &Log,
@@ -35,13 +35,13 @@
             Buffer::new(log, drain.ignore_res())
         }
     };
-    let drain = LevelFilter::new(buffer, level(log.level));
+    let drain = LevelFilter::new(buffer, slog_level(log.level));
     Logger::root(drain.fuse(), fields)
 }
 
-/// Lines that wait for the thread that writes them.
+/// Buffer of lines for the writer thread.
 struct Buffer {
-    /// Present until the buffer is dropped.
+    /// `Some` until the buffer is dropped.
     core: Option<AsyncCore>,
 }
 
@@ -73,21 +73,21 @@
 }
 
 impl Drop for Buffer {
-    /// The buffer waits for its thread, which may be stuck writing to a reader
-    /// that does not read; the process must not be stuck with it.
+    /// Waits for the writer thread for a limited time. The thread may be blocked on
+    /// a reader that doesn't read, which must not block the end of the process.
     fn drop(&mut self) {
         let core = self.core.take();
-        let (done, is_done) = mpsc::channel();
+        let (flushed_tx, flushed_rx) = mpsc::channel();
         thread::spawn(move || {
             drop(core);
-            // Nobody waits any more after the timeout.
-            let _ = done.send(());
+            // Fails if the receiver was dropped after the timeout.
+            let _ = flushed_tx.send(());
         });
-        let _ = is_done.recv_timeout(FLUSH_TIMEOUT);
+        let _ = flushed_rx.recv_timeout(FLUSH_TIMEOUT);
     }
 }
 
-fn level(level: LogLevel) -> Level {
+fn slog_level(level: LogLevel) -> Level {
     match level {
         LogLevel::Error => Level::Error,
         LogLevel::Warn => Level::Warning,
--- a/crates/server/src/meters.rs
+++ b/crates/server/src/meters.rs
@@ -1,4 +1,4 @@
-//! Metrics, in the Prometheus text form.
+//! Metrics in the Prometheus text format.
 
 use std::{
     collections::HashSet,
@@ -11,12 +11,12 @@
 
 use crate::lock::lock;
 
-/// Pairs of workspace and pipeline that have metrics of their own; all others
-/// share the label `other`.
+/// Maximum number of workspace and pipeline pairs with labels of their own. All
+/// other pairs share the label `other`.
 const MAX_LABELLED_PAIRS: usize = 256;
-/// Label of everything beyond that.
-const OTHER: &str = "other";
-/// Upper bounds of the latency buckets, in s.
+/// Label of the pairs beyond [`MAX_LABELLED_PAIRS`].
+const OTHER_LABEL: &str = "other";
+/// Upper bounds of the latency histogram buckets, in s.
 const LATENCY_BUCKETS_S: [f64; 14] = [
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0,
 ];
@@ -32,7 +32,7 @@
 }
 
 impl Meters {
-    /// Installs the recorder of this process, once.
+    /// Installs the metrics recorder of this process if there is none yet.
     pub(crate) fn install() -> Self {
         let handle = RECORDER.get_or_init(install_recorder).clone();
         Self {
@@ -41,30 +41,30 @@
         }
     }
 
-    /// Renders all metrics.
+    /// Renders all metrics as text.
     pub(crate) fn render(&self) -> String {
         self.handle.render()
     }
 
-    /// Does the recorder's housekeeping; wanted every few seconds.
+    /// Runs the recorder's upkeep; call it every few seconds.
     pub(crate) fn upkeep(&self) {
         self.handle.run_upkeep();
     }
 
-    /// Counts a request that has its final answer.
-    pub(crate) fn answered(
+    /// Records the final answer of a request.
+    pub(crate) fn record_answer(
         &self,
         workspace: &WorkspaceName,
         pipeline: &PipelineName,
         outcome: Outcome,
-        is_in_time: bool,
+        is_on_time: bool,
         elapsed: Duration,
     ) {
         let (workspace, pipeline) = self.labels(workspace, pipeline);
         metrics::counter!("savoryvane_requests_total", "workspace" => workspace.clone(),
             "pipeline" => pipeline.clone(), "outcome" => outcome.as_str())
         .increment(1);
-        if is_in_time && outcome == Outcome::Complete {
+        if is_on_time && outcome == Outcome::Complete {
             metrics::counter!("savoryvane_requests_attained_total",
                 "workspace" => workspace.clone(), "pipeline" => pipeline.clone())
             .increment(1);
@@ -74,16 +74,16 @@
         .record(elapsed);
     }
 
-    /// Adds the time and cost of one stage of a request.
-    pub(crate) fn stage(
+    /// Records the time and cost of one stage of a request.
+    pub(crate) fn record_stage(
         &self,
         workspace: &WorkspaceName,
         pipeline: &PipelineName,
         usage: &StageUsage,
     ) {
         let (workspace, pipeline) = self.labels(workspace, pipeline);
-        let stage = if pipeline == OTHER {
-            OTHER.to_owned()
+        let stage = if pipeline == OTHER_LABEL {
+            OTHER_LABEL.to_owned()
         } else {
             usage.stage.to_string()
         };
@@ -107,23 +107,23 @@
     fn labels(&self, workspace: &WorkspaceName, pipeline: &PipelineName) -> (String, String) {
         let pair = (workspace.clone(), pipeline.clone());
         let mut labelled = lock(&self.labelled);
-        let has_room = labelled.len() < MAX_LABELLED_PAIRS;
-        if labelled.contains(&pair) || (has_room && labelled.insert(pair)) {
+        let is_below_limit = labelled.len() < MAX_LABELLED_PAIRS;
+        if labelled.contains(&pair) || (is_below_limit && labelled.insert(pair)) {
             (workspace.to_string(), pipeline.to_string())
         } else {
-            (OTHER.to_owned(), OTHER.to_owned())
+            (OTHER_LABEL.to_owned(), OTHER_LABEL.to_owned())
         }
     }
 }
 
 fn install_recorder() -> PrometheusHandle {
-    let matcher = Matcher::Suffix("_seconds".to_owned());
+    let seconds_matcher = Matcher::Suffix("_seconds".to_owned());
     let builder = PrometheusBuilder::new()
-        .set_buckets_for_metric(matcher, &LATENCY_BUCKETS_S)
+        .set_buckets_for_metric(seconds_matcher, &LATENCY_BUCKETS_S)
         .unwrap_or_else(|_| PrometheusBuilder::new());
     let recorder = builder.build_recorder();
     let handle = recorder.handle();
-    // It fails only when the process has another recorder, which then counts.
+    // Fails only if the process already has a recorder, which then stays in use.
     let _ = metrics::set_global_recorder(recorder);
     handle
 }
