--- a/crates/server/src/bin/savoryvane/app.rs
+++ b/crates/server/src/bin/savoryvane/app.rs
@@ -6,7 +6,7 @@
     process::ExitCode,
 };
 
-use savoryvane_server::{Ended, Error, Gateway, GatewaySettings, Instance, Settings};
+use savoryvane_server::{DrainOutcome, Error, Gateway, GatewaySettings, Instance, Settings};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 use crate::{
@@ -82,8 +82,8 @@
     }
     tokio::select! {
         ended = instance.leave() => Ok(match ended {
-            Ended::Drained => EXIT_OK,
-            Ended::TimedOut => EXIT_DRAIN_TIMEOUT,
+            DrainOutcome::Drained => EXIT_OK,
+            DrainOutcome::TimedOut => EXIT_DRAIN_TIMEOUT,
         }),
         () = signals.next() => Ok(EXIT_SECOND_SIGNAL),
     }
@@ -124,8 +124,8 @@
     loop {
         tokio::select! {
             ended = &mut leaving => return Ok(match ended {
-                Ended::Drained => EXIT_OK,
-                Ended::TimedOut => EXIT_DRAIN_TIMEOUT,
+                DrainOutcome::Drained => EXIT_OK,
+                DrainOutcome::TimedOut => EXIT_DRAIN_TIMEOUT,
             }),
             () = signals.next() => return Ok(EXIT_SECOND_SIGNAL),
             // Ignores reloads: a gateway keeps the settings that it was started with.
--- a/crates/server/src/gateway/instance.rs
+++ b/crates/server/src/gateway/instance.rs
@@ -37,7 +37,7 @@
     clock::Clock,
     connections::{ConnectionSettings, Connections},
     error::Result,
-    instance::{Ended, local_addr},
+    instance::{DrainOutcome, local_addr},
     listener::{self, Acceptor},
     logging,
     meters::Meters,
@@ -146,7 +146,7 @@
 
     /// Shuts down: reports that it is not ready, keeps accepting connections for the
     /// grace time, then accepts nothing new and finishes every request in flight.
-    pub async fn leave(mut self) -> Ended {
+    pub async fn leave(mut self) -> DrainOutcome {
         let drain = self.settings.drain;
         info!(self.log, "leaving"; "connections" => self.connections.len());
         let exit_at = Instant::now() + Duration::from_millis(drain.stop_after_ms());
@@ -157,8 +157,8 @@
         info!(self.log, "draining"; "connections" => self.connections.len());
         self.connections.close();
         let ended = match time::timeout_at(exit_at, self.connections.wait()).await {
-            Ok(()) => Ended::Drained,
-            Err(_) => Ended::TimedOut,
+            Ok(()) => DrainOutcome::Drained,
+            Err(_) => DrainOutcome::TimedOut,
         };
         info!(self.log, "stopped"; "end" => ?ended, "connections" => self.connections.len());
         self.background.shutdown().await;
--- a/crates/server/src/instance.rs
+++ b/crates/server/src/instance.rs
@@ -154,7 +154,7 @@
 
 /// Result of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum DrainOutcome {
     /// Every request in flight was answered.
     Drained,
     /// The drain timeout passed with requests still in flight.
@@ -222,7 +222,7 @@
     /// Shuts down gracefully: reports itself as not ready, keeps accepting requests
     /// for the grace time, then stops accepting and finishes the requests in flight
     /// within the drain timeout.
-    pub async fn leave(mut self) -> Ended {
+    pub async fn leave(mut self) -> DrainOutcome {
         let Self {
             shared,
             connections,
@@ -243,12 +243,12 @@
             shared.tasks.wait().await;
         };
         let ended = match time::timeout_at(deadline, drained).await {
-            Ok(()) => Ended::Drained,
-            Err(_) => Ended::TimedOut,
+            Ok(()) => DrainOutcome::Drained,
+            Err(_) => DrainOutcome::TimedOut,
         };
         match ended {
-            Ended::Drained => info!(shared.log, "drained"),
-            Ended::TimedOut => {
+            DrainOutcome::Drained => info!(shared.log, "drained"),
+            DrainOutcome::TimedOut => {
                 warn!(shared.log, "drain timed out"; "in_flight" => shared.in_flight());
             }
         }
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -52,7 +52,7 @@
 pub use crate::{
     error::{Error, Result},
     gateway::{Gateway, GatewayDrain, GatewayListen, GatewaySettings},
-    instance::{Addresses, Ended, Instance},
+    instance::{Addresses, DrainOutcome, Instance},
     placement_settings::Placement,
     settings::{
         Backends, Claims, Drain, Limits, Listen, Log, LogForm, LogLevel, Platform, Settings,
