--- a/crates/server/tests/admin.rs
+++ b/crates/server/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' interface: plan, confirm, views and credential.
+//! Operators' interface: plans, confirmations, views and authentication.
 
 mod common;
 #[path = "common/process.rs"]
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use common::{Deployment, expected, operate, plan, read_answer, read_body, send, submit};
+use common::{Deployment, expected, plan, read_answer, read_body, send, send_as_operator, submit};
 use http::{Method, StatusCode};
 use process::Entry;
 use savoryvane_standins::{LogFaults, client::Version};
@@ -15,32 +15,33 @@
 use serde_json::{Value, json};
 use tokio::time;
 
-const CONFIRM: &str = "/admin/v1/confirmations";
+const CONFIRM_PATH: &str = "/admin/v1/confirmations";
 
 async fn get(deployment: &Deployment, path: &str) -> Value {
-    let (status, value) = operate(deployment.admin(), Method::GET, path, &Value::Null).await;
+    let (status, value) =
+        send_as_operator(deployment.admin(), Method::GET, path, &Value::Null).await;
     assert_eq!(status, StatusCode::OK, "{path}: {value}");
     value
 }
 
 async fn confirm_plan(deployment: &Deployment, plan: &Plan) -> (StatusCode, Value) {
-    operate(deployment.admin(), Method::POST, CONFIRM, &json!(plan)).await
+    send_as_operator(deployment.admin(), Method::POST, CONFIRM_PATH, &json!(plan)).await
 }
 
-async fn started() -> Deployment {
+async fn start_unconfigured() -> Deployment {
     let mut deployment = Deployment::without_instances("").await;
     deployment.add_instance("entry-1").await;
     deployment.wait_ready().await;
     deployment
 }
 
-fn price(micros: u64) -> Value {
+fn price_intent(micros: u64) -> Value {
     json!({ "pools": [{ "name": "encode", "kind": "encode", "price_micros_per_s": micros }] })
 }
 
 #[tokio::test]
 async fn nothing_is_in_force_before_the_confirm() {
-    let deployment = started().await;
+    let deployment = start_unconfigured().await;
     let addr = deployment.caller();
 
     let plan = plan(deployment.admin(), &deployment.intent()).await;
@@ -64,50 +65,51 @@
     deployment.wait_ready().await;
     let admins = [0, 1].map(|index: usize| deployment.instances[index].addresses().admin);
     let plans = [
-        json!(plan(admins[0], &price(1)).await),
-        json!(plan(admins[1], &price(2)).await),
+        json!(plan(admins[0], &price_intent(1)).await),
+        json!(plan(admins[1], &price_intent(2)).await),
     ];
 
-    let (first, second) = tokio::join!(
-        operate(admins[0], Method::POST, CONFIRM, &plans[0]),
-        operate(admins[1], Method::POST, CONFIRM, &plans[1]),
+    let (first_response, second_response) = tokio::join!(
+        send_as_operator(admins[0], Method::POST, CONFIRM_PATH, &plans[0]),
+        send_as_operator(admins[1], Method::POST, CONFIRM_PATH, &plans[1]),
     );
 
-    let mut statuses = [first.0, second.0];
+    let mut statuses = [first_response.0, second_response.0];
     statuses.sort();
     assert_eq!(statuses, [StatusCode::OK, StatusCode::CONFLICT]);
-    let loser = if first.0 == StatusCode::CONFLICT {
-        first.1
+    let conflict = if first_response.0 == StatusCode::CONFLICT {
+        first_response.1
     } else {
-        second.1
+        second_response.1
     };
     assert!(
-        loser["next_step"].as_str().unwrap().contains("new plan"),
-        "{loser}"
+        conflict["next_step"].as_str().unwrap().contains("new plan"),
+        "{conflict}"
     );
     let objects = get(&deployment, "/admin/v1/objects").await;
-    let (_, others) = operate(admins[1], Method::GET, "/admin/v1/objects", &Value::Null).await;
-    assert_eq!(objects, others);
+    let (_, other_objects) =
+        send_as_operator(admins[1], Method::GET, "/admin/v1/objects", &Value::Null).await;
+    assert_eq!(objects, other_objects);
 }
 
 #[tokio::test]
 async fn repeated_confirm_takes_effect_once() {
     let deployment = Deployment::start().await;
-    let plan = plan(deployment.admin(), &price(7)).await;
+    let plan = plan(deployment.admin(), &price_intent(7)).await;
 
-    let (_, first) = confirm_plan(&deployment, &plan).await;
-    let (status, second) = confirm_plan(&deployment, &plan).await;
+    let (_, first_response) = confirm_plan(&deployment, &plan).await;
+    let (status, second_response) = confirm_plan(&deployment, &plan).await;
 
     assert_eq!(status, StatusCode::OK);
     let confirmations: [Confirmation; 2] =
-        [first, second].map(|value| serde_json::from_value(value).unwrap());
+        [first_response, second_response].map(|value| serde_json::from_value(value).unwrap());
     assert_eq!(confirmations[0].offset, confirmations[1].offset);
 }
 
 #[tokio::test]
-async fn append_whose_answer_was_lost_is_confirmed_from_the_log() {
+async fn append_with_lost_response_is_confirmed_from_the_log() {
     let deployment = Deployment::start().await;
-    let plan = plan(deployment.admin(), &price(7)).await;
+    let plan = plan(deployment.admin(), &price_intent(7)).await;
     deployment.log.set_faults(LogFaults {
         lose_append_answers: true,
         ..LogFaults::default()
@@ -121,15 +123,15 @@
 #[tokio::test]
 async fn confirm_during_an_outage_is_refused_and_works_afterwards() {
     let deployment = Deployment::start().await;
-    let plan = plan(deployment.admin(), &price(7)).await;
+    let plan = plan(deployment.admin(), &price_intent(7)).await;
     deployment.log.set_faults(LogFaults {
         outage: true,
         ..LogFaults::default()
     });
     let (status, body) = confirm_plan(&deployment, &plan).await;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE, "{body}");
-    // What was in force stays in force.
-    assert_eq!(deployment.ask(&json!(1)).await.0, StatusCode::OK);
+    // The previous configuration stays in force.
+    assert_eq!(deployment.request_quote(&json!(1)).await.0, StatusCode::OK);
 
     deployment.log.set_faults(LogFaults::default());
 
@@ -141,21 +143,26 @@
 async fn bad_intents_and_plans_are_told_what_to_do() {
     let deployment = Deployment::start().await;
     let admin = deployment.admin();
-    let deep = "[".repeat(50_000);
-    for body in ["", "{", "[1]", r#"{"pool":[]}"#, deep.as_str()] {
-        for path in ["/admin/v1/plans", CONFIRM, "/admin/v1/drain"] {
+    let deeply_nested = "[".repeat(50_000);
+    for body in ["", "{", "[1]", r#"{"pool":[]}"#, deeply_nested.as_str()] {
+        for path in ["/admin/v1/plans", CONFIRM_PATH, "/admin/v1/drain"] {
             let bearer = format!("Bearer {}", common::OPERATOR_CREDENTIAL);
             let headers = [("authorization", bearer.as_str())];
-            let reply = send(Version::Http1, admin, Method::POST, path, body, &headers).await;
-            assert_eq!(reply.status(), StatusCode::BAD_REQUEST, "{path} {body:.10}");
-            let error: Value = serde_json::from_slice(&read_body(reply).await).unwrap();
+            let response = send(Version::Http1, admin, Method::POST, path, body, &headers).await;
+            assert_eq!(
+                response.status(),
+                StatusCode::BAD_REQUEST,
+                "{path} {body:.10}"
+            );
+            let error: Value = serde_json::from_slice(&read_body(response).await).unwrap();
             assert!(error["next_step"].is_string());
         }
     }
-    let wrong = json!({ "remove": [
+    let invalid_intent = json!({ "remove": [
         { "kind": "pool", "name": "nowhere" }, { "kind": "pool", "name": "encode" }
     ] });
-    let (status, body) = operate(admin, Method::POST, "/admin/v1/plans", &wrong).await;
+    let (status, body) =
+        send_as_operator(admin, Method::POST, "/admin/v1/plans", &invalid_intent).await;
     assert_eq!(status, StatusCode::UNPROCESSABLE_ENTITY);
     let error = body["error"].as_str().unwrap();
     assert!(
@@ -163,16 +170,16 @@
         "{error}"
     );
 
-    let mut altered = plan(admin, &price(7)).await;
+    let mut altered = plan(admin, &price_intent(7)).await;
     altered.change.operator = "mallory".into();
     let (status, _) = confirm_plan(&deployment, &altered).await;
     assert_eq!(status, StatusCode::UNPROCESSABLE_ENTITY);
 }
 
 #[tokio::test]
-async fn views_tell_the_state() {
+async fn views_report_the_state() {
     let deployment = Deployment::start().await;
-    deployment.ask(&json!(1)).await;
+    deployment.request_quote(&json!(1)).await;
 
     let status = get(&deployment, "/admin/v1/status").await;
     assert_eq!(status["instance"], "entry-1");
@@ -186,8 +193,8 @@
     assert_eq!(costs[0]["workspace"], "vakwerk");
     let instances = get(&deployment, "/admin/v1/instances").await;
     assert_eq!(instances[0]["name"], "entry-1");
-    // The list lags, and so do reports of load.
-    let reported = async {
+    // The instance list and the load reports arrive with a delay.
+    let poll = async {
         loop {
             let reach = get(&deployment, "/admin/v1/reach?offset=0").await;
             let backends = get(&deployment, "/admin/v1/backends").await;
@@ -200,13 +207,11 @@
             time::sleep(Duration::from_millis(20)).await;
         }
     };
-    time::timeout(Duration::from_secs(10), reported)
-        .await
-        .unwrap();
+    time::timeout(Duration::from_secs(10), poll).await.unwrap();
 }
 
 #[tokio::test]
-async fn checkpoint_carries_the_configuration_past_the_log() {
+async fn checkpoint_preserves_the_configuration_after_the_log_is_trimmed() {
     let settings = |deployment: &Deployment| {
         let list = deployment.list.addr();
         let platform = format!(
@@ -232,12 +237,12 @@
         !deployment.log.payloads("config").is_empty()
     })
     .await;
-    let late = savoryvane_server::Instance::start(parsed).await.unwrap();
-    common::wait_until("ready", || late.is_ready()).await;
+    let late_instance = savoryvane_server::Instance::start(parsed).await.unwrap();
+    common::wait_until("ready", || late_instance.is_ready()).await;
 
     let input = json!("late");
-    let reply = submit(late.addresses().caller, "quote", &input, &[]).await;
-    let (status, answer) = read_answer(reply).await;
+    let response = submit(late_instance.addresses().caller, "quote", &input, &[]).await;
+    let (status, answer) = read_answer(response).await;
     assert_eq!(status, StatusCode::OK);
     assert_eq!(answer.output, Some(expected(&input)));
 }
@@ -250,22 +255,26 @@
     let mut entry = tokio::task::spawn_blocking(move || Entry::start(&settings))
         .await
         .unwrap();
-    let vakwerk = format!("Bearer {}", common::credential("vakwerk"));
+    let caller_bearer = format!("Bearer {}", common::credential("vakwerk"));
     for value in [
         "Bearer guessed-secret",
-        vakwerk.as_str(),
+        caller_bearer.as_str(),
         "Bearer ",
         "guessed-secret",
     ] {
         let headers = [("authorization", value)];
-        for (method, path) in [(Method::GET, "/admin/v1/status"), (Method::POST, CONFIRM)] {
-            let reply = send(Version::Http1, entry.admin, method, path, "{}", &headers).await;
-            assert_eq!(reply.status(), StatusCode::UNAUTHORIZED, "{value}");
-            assert_eq!(reply.headers()["www-authenticate"], "Bearer");
+        for (method, path) in [
+            (Method::GET, "/admin/v1/status"),
+            (Method::POST, CONFIRM_PATH),
+        ] {
+            let response = send(Version::Http1, entry.admin, method, path, "{}", &headers).await;
+            assert_eq!(response.status(), StatusCode::UNAUTHORIZED, "{value}");
+            assert_eq!(response.headers()["www-authenticate"], "Bearer");
         }
     }
-    // The callers' listener knows nothing of the operators' interface.
-    let (status, _) = operate(entry.caller, Method::GET, "/admin/v1/status", &Value::Null).await;
+    // The callers' listener does not serve the operators' interface.
+    let (status, _) =
+        send_as_operator(entry.caller, Method::GET, "/admin/v1/status", &Value::Null).await;
     assert_eq!(status, StatusCode::NOT_FOUND);
 
     entry.terminate();
--- a/crates/server/tests/at_most_once.rs
+++ b/crates/server/tests/at_most_once.rs
@@ -1,5 +1,5 @@
-//! Requests that may not be run twice, through real processes that are killed
-//! and frozen, and a log that fails.
+//! At-most-once execution of non-idempotent requests while entry processes are
+//! killed or frozen and while the log fails.
 
 mod common;
 #[path = "common/process.rs"]
@@ -12,8 +12,8 @@
 };
 
 use common::{
-    Deployment, ZONE, confirm, credential, expected, read_answer, send, settings_text, submit,
-    take_ticket,
+    Deployment, ZONE, confirm, credential, expected, read_answer, request_ticket, send,
+    settings_text, submit,
 };
 use http::{Method, StatusCode};
 use process::Entry;
@@ -29,16 +29,16 @@
 use serde_json::{Value, json};
 use tokio::time;
 
-const KEY: &str = "idempotency-key";
-const TICKET: &str = "x-ticket";
-const DEADLINE: &str = "x-deadline-ms";
-/// A refusal or an unknown outcome is told within this time, long before the
+const KEY_HEADER: &str = "idempotency-key";
+const TICKET_HEADER: &str = "x-ticket";
+const DEADLINE_HEADER: &str = "x-deadline-ms";
+/// Time limit for reporting a refusal or an unknown outcome, well below the
 /// deadline of the pipeline.
-const AT_ONCE: Duration = Duration::from_millis(1_500);
-/// Factor on service times that keeps a call running for some seconds.
+const PROMPT_LIMIT: Duration = Duration::from_millis(1_500);
+/// Slow-down factor that keeps a call running for some seconds.
 const SLOW_PER_MILLE: u32 = 1_000_000;
 
-/// Two entry instances that know each other.
+/// Two connected entry instances.
 struct Pair {
     deployment: Deployment,
     entries: Vec<Entry>,
@@ -65,15 +65,15 @@
         pair.add("entry-1", ZONE, None).await;
         confirm(pair.entries[0].admin, &pair.deployment.intent()).await;
         pair.add("entry-2", ZONE, None).await;
-        pair.wait_linked().await;
+        pair.wait_connected().await;
         pair
     }
 
-    /// Adds an instance, which reaches the log at `log` if that is given.
+    /// Adds an instance, which connects to the log at `log` if given.
     async fn add(&mut self, name: &str, zone: &str, log: Option<SocketAddr>) {
-        let (own, list) = (self.deployment.log.addr(), self.deployment.list.addr());
+        let (log_addr, list) = (self.deployment.log.addr(), self.deployment.list.addr());
         let extra = &self.deployment.extra_settings;
-        let settings = settings_text(name, log.unwrap_or(own), list, extra);
+        let settings = settings_text(name, log.unwrap_or(log_addr), list, extra);
         let settings = settings.replace(&format!("zone: {ZONE}"), &format!("zone: {zone}"));
         let entry = tokio::task::spawn_blocking(move || Entry::start(&settings))
             .await
@@ -97,40 +97,46 @@
         });
     }
 
-    /// Waits until a claim can be made at each instance and the second one
-    /// reaches the first.
-    async fn wait_linked(&self) {
+    /// Waits until each instance can make claims and the second instance is
+    /// connected to the first.
+    async fn wait_connected(&self) {
         eventually(async || {
             let ticket = self.ticket(0).await;
             let input = json!({ "linked": ticket });
-            self.ask(1, &input, &[(TICKET, &ticket)]).await.1.outcome == Outcome::Complete
+            self.request(1, &input, &[(TICKET_HEADER, &ticket)])
+                .await
+                .1
+                .outcome
+                == Outcome::Complete
         })
         .await;
-        for at in 0..self.entries.len() {
-            let key = format!("ready-{at}");
+        for index in 0..self.entries.len() {
+            let key = format!("ready-{index}");
             eventually(async || {
-                let asked = self.ask(at, &json!(key), &[(KEY, &key)]).await;
-                asked.1.outcome == Outcome::Complete
+                let response = self
+                    .request(index, &json!(key), &[(KEY_HEADER, &key)])
+                    .await;
+                response.1.outcome == Outcome::Complete
             })
             .await;
         }
     }
 
-    async fn ask(
+    async fn request(
         &self,
-        at: usize,
+        index: usize,
         input: &Value,
         headers: &[(&str, &str)],
     ) -> (StatusCode, Answer) {
-        ask(self.entries[at].caller, input, headers).await
+        request(self.entries[index].caller, input, headers).await
     }
 
-    async fn ticket(&self, at: usize) -> String {
-        take_ticket(self.entries[at].caller).await
+    async fn ticket(&self, index: usize) -> String {
+        request_ticket(self.entries[index].caller).await
     }
 
-    /// How often the call that may not be repeated ran for `input`.
-    fn ran(&self, input: &Value) -> usize {
+    /// Returns how often the non-idempotent call was run for `input`.
+    fn run_count(&self, input: &Value) -> usize {
         let backends = self.deployment.backends.iter();
         let calls = backends.flat_map(|backend| backend.ran());
         calls
@@ -138,7 +144,7 @@
             .count()
     }
 
-    fn set_log(&self, faults: LogFaults) {
+    fn set_log_faults(&self, faults: LogFaults) {
         self.deployment.log.set_faults(faults);
     }
 
@@ -151,9 +157,9 @@
         }
     }
 
-    /// Sends a request whose answer may never come.
-    fn send_off(&self, at: usize, input: &Value, headers: &[(&str, &str)]) {
-        let (caller, input) = (self.entries[at].caller, input.clone());
+    /// Sends a request without waiting for the answer, which may never arrive.
+    fn spawn_request(&self, index: usize, input: &Value, headers: &[(&str, &str)]) {
+        let (caller, input) = (self.entries[index].caller, input.clone());
         let headers: Vec<_> = headers
             .iter()
             .map(|(name, value)| ((*name).to_owned(), (*value).to_owned()))
@@ -168,22 +174,26 @@
     }
 }
 
-async fn ask(caller: SocketAddr, input: &Value, headers: &[(&str, &str)]) -> (StatusCode, Answer) {
+async fn request(
+    caller: SocketAddr,
+    input: &Value,
+    headers: &[(&str, &str)],
+) -> (StatusCode, Answer) {
     read_answer(submit(caller, "hold", input, headers).await).await
 }
 
-async fn eventually(mut is_so: impl AsyncFnMut() -> bool) {
-    let waiting = async {
-        while !is_so().await {
+async fn eventually(mut condition: impl AsyncFnMut() -> bool) {
+    let poll = async {
+        while !condition().await {
             time::sleep(Duration::from_millis(20)).await;
         }
     };
-    time::timeout(Duration::from_secs(20), waiting)
+    time::timeout(Duration::from_secs(20), poll)
         .await
         .expect("waited for too long");
 }
 
-async fn pause(ms: u64) {
+async fn sleep_ms(ms: u64) {
     time::sleep(Duration::from_millis(ms)).await;
 }
 
@@ -193,17 +203,17 @@
     for number in 0..30 {
         let input = json!({ "number": number });
         let key = format!("same-moment-{number}");
-        let headers = [(KEY, key.as_str())];
-        let asked = tokio::join!(
-            pair.ask(0, &input, &headers),
-            pair.ask(1, &input, &headers),
-            pair.ask(1, &input, &headers)
+        let headers = [(KEY_HEADER, key.as_str())];
+        let response = tokio::join!(
+            pair.request(0, &input, &headers),
+            pair.request(1, &input, &headers),
+            pair.request(1, &input, &headers)
         );
-        for (status, answer) in [asked.0, asked.1, asked.2] {
+        for (status, answer) in [response.0, response.1, response.2] {
             assert_eq!(status, StatusCode::OK, "{answer:?}");
             assert_eq!(answer.output, Some(expected(&input)));
         }
-        assert_eq!(pair.ran(&input), 1);
+        assert_eq!(pair.run_count(&input), 1);
     }
 }
 
@@ -211,68 +221,76 @@
 async fn a_repeat_later_at_another_instance_gets_the_first_answer() {
     let pair = Pair::start("").await;
     let input = json!("room on friday");
-    let first = pair.ask(0, &input, &[(KEY, "later")]).await.1;
+    let first = pair.request(0, &input, &[(KEY_HEADER, "later")]).await.1;
 
-    let (status, repeat) = pair.ask(1, &input, &[(KEY, "later")]).await;
-    let (misuse, other) = pair.ask(1, &json!("another"), &[(KEY, "later")]).await;
+    let (status, repeat) = pair.request(1, &input, &[(KEY_HEADER, "later")]).await;
+    let (misuse, other) = pair
+        .request(1, &json!("another"), &[(KEY_HEADER, "later")])
+        .await;
 
     assert_eq!(status, StatusCode::OK);
     assert_eq!(repeat.output, first.output);
     assert_ne!(repeat.request_id, first.request_id);
     assert_eq!(misuse, StatusCode::UNPROCESSABLE_ENTITY);
     assert_eq!(other.outcome, Outcome::NotStarted);
-    assert_eq!((pair.ran(&input), pair.ran(&json!("another"))), (1, 0));
+    assert_eq!(
+        (pair.run_count(&input), pair.run_count(&json!("another"))),
+        (1, 0)
+    );
 }
 
-/// A key belongs to its workspace: another one gets neither its answer nor its
-/// refusal.
+/// Keys are scoped to a workspace: a request of another workspace with the same key
+/// gets neither the first one's answer nor its refusal.
 #[tokio::test]
 async fn the_same_key_in_another_workspace_is_another_key() {
     let pair = Pair::start("").await;
     let input = json!("room on sunday");
-    let first = pair.ask(0, &input, &[(KEY, "shared")]).await.1;
+    let first = pair.request(0, &input, &[(KEY_HEADER, "shared")]).await.1;
     let bearer = format!("Bearer {}", credential("taalghar"));
     let headers = [
-        (KEY, "shared"),
+        (KEY_HEADER, "shared"),
         ("x-workspace", "taalghar"),
         ("authorization", &*bearer),
     ];
 
-    let (status, second) = pair.ask(1, &input, &headers).await;
-    let (other_status, other) = pair.ask(1, &json!("another"), &headers).await;
+    let (status, second) = pair.request(1, &input, &headers).await;
+    let (other_status, other) = pair.request(1, &json!("another"), &headers).await;
 
     assert_eq!(first.outcome, Outcome::Complete);
     assert_eq!(
         (status, second.outcome),
         (StatusCode::OK, Outcome::Complete)
     );
-    assert_eq!(pair.ran(&input), 2);
+    assert_eq!(pair.run_count(&input), 2);
     assert_eq!(other_status, StatusCode::UNPROCESSABLE_ENTITY);
     assert_eq!(other.outcome, Outcome::NotStarted);
 }
 
-/// The claim is on the log and the instance dies before it can read it back.
+/// The claim is in the log, but the instance is killed before it reads the claim
+/// back.
 #[tokio::test]
 async fn killed_before_sending_is_unknown_at_once_and_never_run() {
     let mut pair = Pair::start("").await;
     let input = json!("killed before");
-    pair.set_log(LogFaults {
+    pair.set_log_faults(LogFaults {
         delivery_delay_ms: 400,
         ..LogFaults::default()
     });
-    pair.send_off(0, &input, &[(KEY, "killed-before")]);
-    pause(150).await;
+    pair.spawn_request(0, &input, &[(KEY_HEADER, "killed-before")]);
+    sleep_ms(150).await;
     pair.entries[0].kill();
-    pair.set_log(LogFaults::default());
-    pause(300).await;
+    pair.set_log_faults(LogFaults::default());
+    sleep_ms(300).await;
 
     let started = Instant::now();
-    let (status, answer) = pair.ask(1, &input, &[(KEY, "killed-before")]).await;
+    let (status, answer) = pair
+        .request(1, &input, &[(KEY_HEADER, "killed-before")])
+        .await;
 
     assert_eq!(answer.outcome, Outcome::Unknown, "{answer:?}");
     assert_eq!(status, StatusCode::INTERNAL_SERVER_ERROR);
-    assert!(started.elapsed() < AT_ONCE);
-    assert_eq!(pair.ran(&input), 0);
+    assert!(started.elapsed() < PROMPT_LIMIT);
+    assert_eq!(pair.run_count(&input), 0);
 }
 
 #[tokio::test]
@@ -280,82 +298,94 @@
     let mut pair = Pair::start("").await;
     let input = json!("killed after");
     pair.slow_down();
-    pair.send_off(0, &input, &[(KEY, "killed-after")]);
-    eventually(async || pair.ran(&input) == 1).await;
+    pair.spawn_request(0, &input, &[(KEY_HEADER, "killed-after")]);
+    eventually(async || pair.run_count(&input) == 1).await;
     pair.entries[0].kill();
 
     for _ in 0..2 {
         let started = Instant::now();
-        let (_, answer) = pair.ask(1, &input, &[(KEY, "killed-after")]).await;
+        let (_, answer) = pair
+            .request(1, &input, &[(KEY_HEADER, "killed-after")])
+            .await;
         assert_eq!(answer.outcome, Outcome::Unknown, "{answer:?}");
-        assert!(started.elapsed() < AT_ONCE);
+        assert!(started.elapsed() < PROMPT_LIMIT);
     }
-    assert_eq!(pair.ran(&input), 1);
+    assert_eq!(pair.run_count(&input), 1);
 }
 
-/// The instance is frozen while its claim is on its way back from the log, for
-/// longer than the request has.
+/// The instance is frozen before the log delivers its claim, until after the
+/// request's deadline.
 #[tokio::test]
 async fn frozen_past_its_deadline_sends_nothing_after_the_thaw() {
     let pair = Pair::start("").await;
     let input = json!("frozen");
-    pair.set_log(LogFaults {
+    pair.set_log_faults(LogFaults {
         delivery_delay_ms: 300,
         ..LogFaults::default()
     });
     let first = [
-        (KEY, "frozen"),
-        (DEADLINE, "1000"),
+        (KEY_HEADER, "frozen"),
+        (DEADLINE_HEADER, "1000"),
         ("x-request-id", "first"),
     ];
-    pair.send_off(0, &input, &first);
-    pause(150).await;
+    pair.spawn_request(0, &input, &first);
+    sleep_ms(150).await;
     pair.entries[0].freeze();
-    pause(1_200).await;
-    assert_eq!(pair.ran(&input), 0);
+    sleep_ms(1_200).await;
+    assert_eq!(pair.run_count(&input), 0);
     let caller = pair.entries[1].caller;
-    let asked = input.clone();
-    let repeat = tokio::spawn(async move { ask(caller, &asked, &[(KEY, "frozen")]).await });
-    pause(200).await;
+    let repeat_input = input.clone();
+    let repeat =
+        tokio::spawn(
+            async move { request(caller, &repeat_input, &[(KEY_HEADER, "frozen")]).await },
+        );
+    sleep_ms(200).await;
     pair.entries[0].thaw();
 
-    // The first gives its claim up when it wakes, and the repeat runs.
+    // The first instance releases its claim when it resumes, so the repeat is run.
     let (_, answer) = repeat.await.unwrap();
     assert_eq!(answer.outcome, Outcome::Complete, "{answer:?}");
-    assert_eq!(pair.ran(&input), 1);
+    assert_eq!(pair.run_count(&input), 1);
     let backends = pair.deployment.backends.iter();
     let mut calls = backends.flat_map(|backend| backend.ran());
     assert!(calls.all(|call| call.id.request.as_str() != "first"));
 }
 
-/// Freezes at every moment of a request, for longer than it has, while the
-/// caller repeats it elsewhere.
+/// Freezes the instance at different points of a request until after its deadline,
+/// while the caller repeats the request at the other instance.
 #[tokio::test]
 async fn frozen_at_any_moment_runs_at_most_once_and_not_run_is_true() {
     let pair = Pair::start("").await;
     for step in 0..24_u64 {
         let input = json!({ "step": step });
         let key = format!("any-moment-{step}");
-        let (caller, asked, at) = (pair.entries[0].caller, input.clone(), key.clone());
+        let (caller, first_input, first_key) = (pair.entries[0].caller, input.clone(), key.clone());
         let first = tokio::spawn(async move {
-            ask(caller, &asked, &[(KEY, at.as_str()), (DEADLINE, "300")])
-                .await
-                .1
+            request(
+                caller,
+                &first_input,
+                &[(KEY_HEADER, first_key.as_str()), (DEADLINE_HEADER, "300")],
+            )
+            .await
+            .1
         });
         time::sleep(Duration::from_micros(step * 500)).await;
         pair.entries[0].freeze();
-        let ran_before = pair.ran(&input);
-        let headers = [(KEY, key.as_str()), (DEADLINE, "700")];
+        let ran_before = pair.run_count(&input);
+        let headers = [(KEY_HEADER, key.as_str()), (DEADLINE_HEADER, "700")];
         let thaw = async {
-            pause(400).await;
+            sleep_ms(400).await;
             pair.entries[0].thaw();
         };
-        let ((_, repeat), ()) = tokio::join!(pair.ask(1, &input, &headers), thaw);
+        let ((_, repeat), ()) = tokio::join!(pair.request(1, &input, &headers), thaw);
         let first = first.await.unwrap();
-        let later = pair.ask(1, &input, &[(KEY, key.as_str())]).await.1;
+        let later = pair
+            .request(1, &input, &[(KEY_HEADER, key.as_str())])
+            .await
+            .1;
 
-        let ran = pair.ran(&input);
-        assert!(ran <= 1, "{step}: ran {ran} times");
+        let run_count = pair.run_count(&input);
+        assert!(run_count <= 1, "{step}: ran {run_count} times");
         for answer in [&first, &repeat, &later] {
             let is_complete = answer.outcome == Outcome::Complete;
             assert!(!is_complete || answer.output == Some(expected(&input)));
@@ -364,54 +394,56 @@
             first.outcome != Outcome::NotRun || ran_before == 0,
             "{step}"
         );
-        assert!(later.outcome != Outcome::NotRun || ran == 0, "{step}");
+        assert!(later.outcome != Outcome::NotRun || run_count == 0, "{step}");
     }
 }
 
 #[tokio::test]
 async fn an_append_whose_answer_is_lost_is_run_once() {
     let pair = Pair::start("").await;
-    pair.set_log(LogFaults {
+    pair.set_log_faults(LogFaults {
         lose_append_answers: true,
         ..LogFaults::default()
     });
-    for (number, at) in (0..6).zip([0, 1].into_iter().cycle()) {
+    for (number, index) in (0..6).zip([0, 1].into_iter().cycle()) {
         let input = json!({ "lost": number });
         let key = format!("lost-{number}");
-        let (_, answer) = pair.ask(at, &input, &[(KEY, &key)]).await;
-        // Once too many answers are missing, the log counts as away.
+        let (_, answer) = pair.request(index, &input, &[(KEY_HEADER, &key)]).await;
+        // After too many missing responses the log counts as unavailable.
         let is_refused = number > 0 && answer.outcome == Outcome::NotStarted;
         assert!(
             is_refused || answer.outcome == Outcome::Complete,
             "{answer:?}"
         );
-        assert_eq!(pair.ran(&input), usize::from(!is_refused));
+        assert_eq!(pair.run_count(&input), usize::from(!is_refused));
     }
-    pair.set_log(LogFaults::default());
+    pair.set_log_faults(LogFaults::default());
     for number in 0..6 {
         let input = json!({ "lost": number });
         let key = format!("lost-{number}");
         eventually(async || {
-            let asked = pair.ask(1, &input, &[(KEY, &key)]).await;
-            asked.1.outcome == Outcome::Complete
+            let response = pair.request(1, &input, &[(KEY_HEADER, &key)]).await;
+            response.1.outcome == Outcome::Complete
         })
         .await;
-        assert_eq!(pair.ran(&input), 1);
+        assert_eq!(pair.run_count(&input), 1);
     }
 }
 
 #[tokio::test]
 async fn while_the_log_is_away_keys_are_refused_at_once_and_tickets_run() {
     let pair = Pair::start("").await;
-    pair.set_log(LogFaults {
+    pair.set_log_faults(LogFaults {
         outage: true,
         ..LogFaults::default()
     });
-    // Until the outage is noticed, a claim is waited for.
-    let noticed = [(KEY, "notices"), (DEADLINE, "600")];
-    pair.ask(0, &json!("notices"), &noticed).await;
+    // Until the outage is detected, requests wait for their claim.
+    let detection = [(KEY_HEADER, "notices"), (DEADLINE_HEADER, "600")];
+    pair.request(0, &json!("notices"), &detection).await;
     let started = Instant::now();
-    let (status, refused) = pair.ask(0, &json!("away"), &[(KEY, "away")]).await;
+    let (status, refused) = pair
+        .request(0, &json!("away"), &[(KEY_HEADER, "away")])
+        .await;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(refused.outcome, Outcome::NotStarted, "{refused:?}");
     assert_eq!(refused.reason.as_deref(), Some("log_away"));
@@ -420,20 +452,25 @@
     for number in 0..20 {
         let input = json!({ "ticket": number });
         let ticket = pair.ticket(number % 2).await;
-        let headers = [(TICKET, ticket.as_str())];
-        let answers = tokio::join!(pair.ask(0, &input, &headers), pair.ask(1, &input, &headers));
+        let headers = [(TICKET_HEADER, ticket.as_str())];
+        let answers = tokio::join!(
+            pair.request(0, &input, &headers),
+            pair.request(1, &input, &headers)
+        );
         for (_, answer) in [answers.0, answers.1] {
             assert_eq!(answer.output, Some(expected(&input)), "{answer:?}");
         }
-        assert_eq!(pair.ran(&input), 1);
+        assert_eq!(pair.run_count(&input), 1);
     }
-    pair.set_log(LogFaults::default());
+    pair.set_log_faults(LogFaults::default());
     eventually(async || {
-        let asked = pair.ask(0, &json!("away"), &[(KEY, "away")]).await;
-        asked.1.outcome == Outcome::Complete
+        let response = pair
+            .request(0, &json!("away"), &[(KEY_HEADER, "away")])
+            .await;
+        response.1.outcome == Outcome::Complete
     })
     .await;
-    assert_eq!(pair.ran(&json!("away")), 1);
+    assert_eq!(pair.run_count(&json!("away")), 1);
 }
 
 #[tokio::test]
@@ -441,51 +478,61 @@
     let mut pair = Pair::start("").await;
     let to_log = relay(pair.deployment.log.addr()).await;
     pair.add("entry-3", ZONE, Some(to_log.addr())).await;
-    let linked = async || {
+    let is_connected = async || {
         let ticket = pair.ticket(0).await;
-        let asked = pair.ask(2, &json!(ticket), &[(TICKET, &ticket)]).await;
-        asked.1.outcome == Outcome::Complete
+        let response = pair
+            .request(2, &json!(ticket), &[(TICKET_HEADER, &ticket)])
+            .await;
+        response.1.outcome == Outcome::Complete
     };
-    eventually(linked).await;
+    eventually(is_connected).await;
     let cut = LinkFaults {
         cut: true,
         ..LinkFaults::default()
     };
 
     to_log.set_faults(cut);
-    let (key, input) = ([(KEY, "cut"), (DEADLINE, "1000")], json!("cut"));
-    let refused = pair.ask(2, &input, &key).await.1;
+    let (key, input) = (
+        [(KEY_HEADER, "cut"), (DEADLINE_HEADER, "1000")],
+        json!("cut"),
+    );
+    let refused = pair.request(2, &input, &key).await.1;
     assert_eq!(refused.outcome, Outcome::NotStarted, "{refused:?}");
-    assert_eq!(pair.ran(&input), 0);
+    assert_eq!(pair.run_count(&input), 0);
     let ticket = pair.ticket(2).await;
-    let served = pair.ask(2, &json!("own"), &[(TICKET, &ticket)]).await.1;
+    let served = pair
+        .request(2, &json!("own"), &[(TICKET_HEADER, &ticket)])
+        .await
+        .1;
     assert_eq!(served.outcome, Outcome::Complete, "{served:?}");
-    let first = pair.ask(0, &input, &key).await.1;
+    let first = pair.request(0, &input, &key).await.1;
     to_log.set_faults(LinkFaults::default());
-    eventually(async || pair.ask(2, &input, &key).await.1.output == first.output).await;
-    assert_eq!(pair.ran(&input), 1);
+    eventually(async || pair.request(2, &input, &key).await.1.output == first.output).await;
+    assert_eq!(pair.run_count(&input), 1);
 }
 
-/// As it looks from elsewhere when a zone is cut off.
+/// To another instance, a frozen claim holder looks the same as one in a
+/// partitioned zone.
 #[tokio::test]
 async fn a_holder_that_went_silent_is_unknown_long_before_the_deadline() {
     let pair = Pair::start("").await;
-    let (key, input) = ([(KEY, "silent")], json!("silent"));
+    let (key, input) = ([(KEY_HEADER, "silent")], json!("silent"));
     pair.slow_down();
-    pair.send_off(0, &input, &key);
-    eventually(async || pair.ran(&input) == 1).await;
+    pair.spawn_request(0, &input, &key);
+    eventually(async || pair.run_count(&input) == 1).await;
     pair.entries[0].freeze();
 
     let started = Instant::now();
-    let answer = pair.ask(1, &input, &key).await.1;
+    let answer = pair.request(1, &input, &key).await.1;
 
     pair.entries[0].thaw();
     assert_eq!(answer.outcome, Outcome::Unknown, "{answer:?}");
-    assert!(started.elapsed() < 2 * AT_ONCE);
-    assert_eq!(pair.ran(&input), 1);
+    assert!(started.elapsed() < 2 * PROMPT_LIMIT);
+    assert_eq!(pair.run_count(&input), 1);
 }
 
-/// Instances of other zones are reached by their listed address.
+/// The partition is made by a relay at the first instance's listed address, because
+/// instances of other zones connect to the listed address.
 #[tokio::test]
 async fn zones_cut_from_each_other_run_nothing_twice() {
     let mut pair = Pair::start("").await;
@@ -494,8 +541,10 @@
     pair.add("entry-3", "hal-gouda", None).await;
     eventually(async || {
         let ticket = pair.ticket(0).await;
-        let asked = pair.ask(2, &json!(ticket), &[(TICKET, &ticket)]).await;
-        asked.1.outcome == Outcome::Complete
+        let response = pair
+            .request(2, &json!(ticket), &[(TICKET_HEADER, &ticket)])
+            .await;
+        response.1.outcome == Outcome::Complete
     })
     .await;
     to_first.set_faults(LinkFaults {
@@ -503,29 +552,40 @@
         ..LinkFaults::default()
     });
 
-    // Each zone goes on with keys, and has what ended elsewhere from the log.
+    // Both zones still accept keys, and read results of other zones from the log.
     let input = json!("ended");
-    let first = pair.ask(0, &input, &[(KEY, "ended")]).await.1;
+    let first = pair.request(0, &input, &[(KEY_HEADER, "ended")]).await.1;
     assert_eq!(first.outcome, Outcome::Complete);
-    let repeat = pair.ask(2, &input, &[(KEY, "ended")]).await.1;
+    let repeat = pair.request(2, &input, &[(KEY_HEADER, "ended")]).await.1;
     assert_eq!(repeat.output, first.output, "{repeat:?}");
-    let other = pair.ask(2, &json!("other"), &[(KEY, "other")]).await.1;
+    let other = pair
+        .request(2, &json!("other"), &[(KEY_HEADER, "other")])
+        .await
+        .1;
     assert_eq!(other.outcome, Outcome::Complete, "{other:?}");
-    // What runs elsewhere is unknown here, and a ticket of there is not run.
-    let (key, input) = ([(KEY, "parted")], json!("parted"));
+    // A request running in the other zone is reported as unknown, and a ticket of
+    // the other zone is not run.
+    let (key, input) = ([(KEY_HEADER, "parted")], json!("parted"));
     let ticket = pair.ticket(0).await;
     pair.slow_down();
-    pair.send_off(0, &input, &key);
-    eventually(async || pair.ran(&input) == 1).await;
+    pair.spawn_request(0, &input, &key);
+    eventually(async || pair.run_count(&input) == 1).await;
     let started = Instant::now();
-    let (headers, unused) = ([(TICKET, ticket.as_str())], json!("foreign"));
-    let (parted, foreign) = tokio::join!(pair.ask(2, &input, &key), pair.ask(2, &unused, &headers));
-    assert_eq!(parted.1.outcome, Outcome::Unknown, "{parted:?}");
+    let (headers, unused) = ([(TICKET_HEADER, ticket.as_str())], json!("foreign"));
+    let (running_elsewhere, foreign) = tokio::join!(
+        pair.request(2, &input, &key),
+        pair.request(2, &unused, &headers)
+    );
+    assert_eq!(
+        running_elsewhere.1.outcome,
+        Outcome::Unknown,
+        "{running_elsewhere:?}"
+    );
     let outcome = foreign.1.outcome;
     let is_run = !matches!(outcome, Outcome::NotStarted | Outcome::Unknown);
     assert!(!is_run, "{foreign:?}");
-    assert!(started.elapsed() < 2 * AT_ONCE);
-    assert_eq!((pair.ran(&input), pair.ran(&unused)), (1, 0));
+    assert!(started.elapsed() < 2 * PROMPT_LIMIT);
+    assert_eq!((pair.run_count(&input), pair.run_count(&unused)), (1, 0));
 }
 
 async fn relay(to: SocketAddr) -> Relay {
@@ -541,50 +601,57 @@
 #[tokio::test]
 async fn a_slow_log_makes_claims_slow_and_nothing_else() {
     let pair = Pair::start("").await;
-    pair.set_log(LogFaults {
+    pair.set_log_faults(LogFaults {
         slow_ms: 300,
         ..LogFaults::default()
     });
     let input = json!("slow");
-    let headers = [(KEY, "slow")];
-    let asked = tokio::join!(pair.ask(0, &input, &headers), pair.ask(1, &input, &headers));
-    for (_, answer) in [asked.0, asked.1] {
+    let headers = [(KEY_HEADER, "slow")];
+    let response = tokio::join!(
+        pair.request(0, &input, &headers),
+        pair.request(1, &input, &headers)
+    );
+    for (_, answer) in [response.0, response.1] {
         assert_eq!(answer.outcome, Outcome::Complete, "{answer:?}");
     }
-    assert_eq!(pair.ran(&input), 1);
+    assert_eq!(pair.run_count(&input), 1);
 }
 
-/// An instance that has missed records of the window refuses until it has read a
-/// whole window; one that has read them goes on.
+/// An instance that missed records of the claim window refuses keys until it has
+/// read a full window. An instance that read the records keeps accepting keys.
 #[tokio::test]
 async fn records_lost_before_their_time_stop_claims_for_the_window() {
     let pair = Pair::start("claims: {window_ms: 3000}").await;
     let input = json!("expiry");
-    let headers = [(KEY, "expiry")];
+    let headers = [(KEY_HEADER, "expiry")];
     pair.entries[1].freeze();
-    // What the frozen instance had asked for is answered with this one.
-    pair.ask(0, &json!("other"), &[(KEY, "other")]).await;
-    pause(200).await;
-    let first = pair.ask(0, &input, &headers).await.1;
+    // The pending read of the frozen instance returns this record.
+    pair.request(0, &json!("other"), &[(KEY_HEADER, "other")])
+        .await;
+    sleep_ms(200).await;
+    let first = pair.request(0, &input, &headers).await.1;
     assert_eq!(first.outcome, Outcome::Complete);
-    pause(200).await;
-    pair.set_log(LogFaults {
+    sleep_ms(200).await;
+    pair.set_log_faults(LogFaults {
         trim: true,
         ..LogFaults::default()
     });
     pair.entries[1].thaw();
 
-    let (_, refused) = pair.ask(1, &input, &headers).await;
+    let (_, refused) = pair.request(1, &input, &headers).await;
     assert_eq!(refused.outcome, Outcome::NotStarted, "{refused:?}");
     assert_eq!(refused.reason.as_deref(), Some("claims_incomplete"));
-    assert_eq!(pair.ask(0, &input, &headers).await.1.output, first.output);
-    assert_eq!(pair.ran(&input), 1);
+    assert_eq!(
+        pair.request(0, &input, &headers).await.1.output,
+        first.output
+    );
+    assert_eq!(pair.run_count(&input), 1);
     eventually(async || {
-        let asked = pair.ask(1, &json!("new"), &[(KEY, "new")]).await;
-        asked.1.outcome == Outcome::Complete
+        let response = pair.request(1, &json!("new"), &[(KEY_HEADER, "new")]).await;
+        response.1.outcome == Outcome::Complete
     })
     .await;
-    assert_eq!(pair.ran(&json!("new")), 1);
+    assert_eq!(pair.run_count(&json!("new")), 1);
 }
 
 #[tokio::test]
@@ -593,25 +660,31 @@
     let input = json!("ticket");
     let ticket = pair.ticket(0).await;
     let unused = pair.ticket(0).await;
-    let headers = [(TICKET, ticket.as_str())];
-    let first = pair.ask(1, &input, &headers).await.1;
+    let headers = [(TICKET_HEADER, ticket.as_str())];
+    let first = pair.request(1, &input, &headers).await.1;
     assert_eq!(first.output, Some(expected(&input)), "{first:?}");
-    assert_eq!(pair.ask(0, &input, &headers).await.1.output, first.output);
-    let (status, _) = pair.ask(0, &json!("another"), &headers).await;
+    assert_eq!(
+        pair.request(0, &input, &headers).await.1.output,
+        first.output
+    );
+    let (status, _) = pair.request(0, &json!("another"), &headers).await;
     assert_eq!(status, StatusCode::UNPROCESSABLE_ENTITY);
-    let both = [(TICKET, ticket.as_str()), (KEY, "both")];
-    assert_eq!(pair.ask(0, &input, &both).await.0, StatusCode::BAD_REQUEST);
+    let both = [(TICKET_HEADER, ticket.as_str()), (KEY_HEADER, "both")];
+    assert_eq!(
+        pair.request(0, &input, &both).await.0,
+        StatusCode::BAD_REQUEST
+    );
 
     pair.entries[0].kill();
 
     for ticket in [&ticket, &unused] {
         let started = Instant::now();
-        let (_, answer) = pair.ask(1, &input, &[(TICKET, ticket)]).await;
+        let (_, answer) = pair.request(1, &input, &[(TICKET_HEADER, ticket)]).await;
         assert!(
             matches!(answer.outcome, Outcome::NotStarted | Outcome::Unknown),
             "{answer:?}"
         );
-        assert!(started.elapsed() < AT_ONCE);
+        assert!(started.elapsed() < PROMPT_LIMIT);
     }
-    assert_eq!(pair.ran(&input), 1);
+    assert_eq!(pair.run_count(&input), 1);
 }
--- a/crates/server/tests/cli.rs
+++ b/crates/server/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line and the settings, with the real binary.
+//! Command line and settings of the binary.
 
 #[path = "common/process.rs"]
 #[allow(dead_code, reason = "each test file uses a part of it")]
@@ -10,7 +10,7 @@
 
 const EXAMPLE: &str = include_str!("../examples/entry.yaml");
 
-fn code(output: &Output) -> i32 {
+fn exit_code(output: &Output) -> i32 {
     output.status.code().unwrap()
 }
 
@@ -25,17 +25,17 @@
 #[test]
 fn help_and_version_are_printed() {
     let help = run(&["--help"]);
-    assert_eq!(code(&help), 0);
+    assert_eq!(exit_code(&help), 0);
     assert!(stdout(&help).contains("--config"));
 
     let version = run(&["--version"]);
-    assert_eq!(code(&version), 0);
+    assert_eq!(exit_code(&version), 0);
     let expected = concat!("savoryvane ", env!("CARGO_PKG_VERSION"), "\n");
     assert_eq!(stdout(&version), expected);
 }
 
 #[test]
-fn wrong_command_line_is_refused() {
+fn invalid_command_line_is_refused() {
     for args in [
         &["--nonsense"][..],
         &[],
@@ -44,7 +44,7 @@
         &["--check"],
     ] {
         let output = run(args);
-        assert_eq!(code(&output), 2, "{args:?}");
+        assert_eq!(exit_code(&output), 2, "{args:?}");
         assert!(stderr(&output).contains("--help"), "{args:?}");
     }
 }
@@ -52,11 +52,11 @@
 #[test]
 fn example_settings_are_valid() {
     let output = check(EXAMPLE);
-    assert_eq!(code(&output), 0, "{}", stderr(&output));
+    assert_eq!(exit_code(&output), 0, "{}", stderr(&output));
 }
 
 #[test]
-fn every_fault_is_told_at_once_with_file_path_found_and_allowed() {
+fn all_invalid_settings_are_reported_with_file_field_found_and_allowed() {
     let text = EXAMPLE
         .replace("zone: hal-utrecht", "zone: Hal Utrecht")
         .replace("caller: 127.0.0.1:8080", "caller: localhost:8080")
@@ -69,7 +69,7 @@
 
     let output = run(&["--config", file]);
 
-    assert_eq!(code(&output), 3);
+    assert_eq!(exit_code(&output), 3);
     assert!(stdout(&output).is_empty(), "nothing listens");
     let errors = stderr(&output);
     for (field, found) in [
@@ -108,7 +108,7 @@
     for text in texts {
         let output = check(text);
         let start: String = text.chars().take(20).collect();
-        assert_eq!(code(&output), 3, "{start:?}");
+        assert_eq!(exit_code(&output), 3, "{start:?}");
         assert!(stderr(&output).len() < 8_192, "{start:?}");
     }
 }
@@ -116,26 +116,26 @@
 #[test]
 fn missing_file_is_named() {
     let output = run(&["--config", "/nowhere/entry.yaml"]);
-    assert_eq!(code(&output), 3);
+    assert_eq!(exit_code(&output), 3);
     assert!(stderr(&output).contains("/nowhere/entry.yaml: can't be read"));
 }
 
 #[test]
-fn credential_may_stand_in_a_file_but_not_in_both_places() {
+fn credential_is_inline_or_in_a_file_but_not_both() {
     let line = EXAMPLE
         .lines()
         .find(|line| line.trim_start().starts_with("credential_sha256:"))
         .unwrap();
     let digest = line.split(": ").nth(1).unwrap();
     let file = settings_file(&format!("{digest}\n"));
-    let by_file = format!("  credential_sha256_file: {}", file.display());
-
-    assert_eq!(code(&check(&EXAMPLE.replace(line, &by_file))), 0);
-    let both = EXAMPLE.replace(line, &format!("{line}\n{by_file}"));
-    assert_eq!(code(&check(&both)), 3);
-    let absent = "  credential_sha256_file: /nowhere/credential";
-    let output = check(&EXAMPLE.replace(line, absent));
-    assert_eq!(code(&output), 3);
+    let file_line = format!("  credential_sha256_file: {}", file.display());
+
+    assert_eq!(exit_code(&check(&EXAMPLE.replace(line, &file_line))), 0);
+    let both = EXAMPLE.replace(line, &format!("{line}\n{file_line}"));
+    assert_eq!(exit_code(&check(&both)), 3);
+    let missing_file_line = "  credential_sha256_file: /nowhere/credential";
+    let output = check(&EXAMPLE.replace(line, missing_file_line));
+    assert_eq!(exit_code(&output), 3);
     assert!(stderr(&output).contains("admin.credential_sha256_file"));
 }
 
@@ -148,18 +148,18 @@
 
     let output = run(&["--config", path.to_str().unwrap()]);
 
-    assert_eq!(code(&output), 1);
+    assert_eq!(exit_code(&output), 1);
     assert!(stderr(&output).contains(&addr), "{}", stderr(&output));
 }
 
 #[test]
-fn every_fault_of_the_quarantine_is_told_at_once() {
+fn all_invalid_quarantine_settings_are_reported_together() {
     let text = EXAMPLE
         .replace("quarantine_ms: 600000", "quarantine_ms: 5")
         .replace("max_requests: 4096", "max_requests: 0")
         .replace("told_at_once: 64", "told_at_once: many");
     let output = check(&text);
-    assert_eq!(code(&output), 3);
+    assert_eq!(exit_code(&output), 3);
     for field in ["quarantine_ms", "max_requests", "told_at_once"] {
         let field = format!("quarantine.{field}: found");
         assert!(stderr(&output).contains(&field), "{}", stderr(&output));
--- a/crates/server/tests/common/mod.rs
+++ b/crates/server/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A small deployment in one process: stand-ins, entry instances and a
-//! configuration that went through plan and confirm.
+//! A small in-process deployment: stand-in services, entry instances and a
+//! configuration applied by plan and confirm.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -34,19 +34,19 @@
     ("generate", StageKind::Generate),
 ];
 const MAX_TOKENS: u32 = 64;
-const WAIT: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A running deployment of one availability zone.
+/// A running deployment in one availability zone.
 pub struct Deployment {
     pub log: LogServer,
     pub list: ListServer,
     pub backends: Vec<BackendServer>,
     pub instances: Vec<Instance>,
-    /// Lines that go into the settings of every instance.
+    /// Lines added to the settings of every instance.
     pub extra_settings: String,
 }
 
-/// Starts two backend servers for each stage.
+/// Starts two backend servers per stage.
 pub async fn start_backends() -> Vec<BackendServer> {
     let mut backends = Vec::new();
     for (name, kind) in KINDS {
@@ -60,8 +60,9 @@
 }
 
 impl Deployment {
-    /// Starts two backend servers for each stage and one instance, and puts
-    /// the pipelines `quote` and `hold` of workspace `vakwerk` in force.
+    /// Starts two backend servers per stage and one instance, and applies the
+    /// pipelines `quote` and `hold` of workspace `vakwerk`. Only `hold` is not
+    /// idempotent.
     pub async fn start() -> Self {
         Self::with_settings("").await
     }
@@ -137,10 +138,10 @@
         }
     }
 
-    /// Sends a request and reads its whole answer.
-    pub async fn ask(&self, input: &Value) -> (StatusCode, Answer) {
-        let reply = submit(self.caller(), "quote", input, &[]).await;
-        read_answer(reply).await
+    /// Sends a request to pipeline `quote` and reads the complete answer.
+    pub async fn request_quote(&self, input: &Value) -> (StatusCode, Answer) {
+        let response = submit(self.caller(), "quote", input, &[]).await;
+        read_answer(response).await
     }
 }
 
@@ -168,8 +169,8 @@
         _ => json!({ "name": name, "pool": name }),
     };
     let stages: Vec<_> = KINDS.iter().map(stage).collect();
-    let mut once = stages.clone();
-    once[0]["idempotent"] = json!(false);
+    let mut non_idempotent_stages = stages.clone();
+    non_idempotent_stages[0]["idempotent"] = json!(false);
     let workspace = |name: &str, pipelines: &[&str]| {
         json!({ "name": name, "credential_sha256": sha256(&credential(name)),
             "pipelines": pipelines, "weight": 1, "quota_per_s": 1000 })
@@ -180,7 +181,7 @@
         "models": [{ "name": "chat", "pool": "generate", "size_mb": 1000, "min_replicas": 1 }],
         "pipelines": [
             { "name": "quote", "deadline_ms": 5000, "stages": stages },
-            { "name": "hold", "deadline_ms": 5000, "stages": once },
+            { "name": "hold", "deadline_ms": 5000, "stages": non_idempotent_stages },
         ],
         "workspaces": [workspace("vakwerk", &["quote", "hold"]), workspace("taalghar", &["hold"])],
     })
@@ -206,7 +207,7 @@
     hex::encode(Sha256::digest(text.as_bytes()))
 }
 
-/// Sends a request of workspace `vakwerk` with more headers.
+/// Sends a request of workspace `vakwerk` with additional headers.
 pub async fn submit(
     addr: SocketAddr,
     pipeline: &str,
@@ -226,15 +227,15 @@
     let path = format!("/v1/pipelines/{pipeline}/requests");
     let body = json!({ "input": input }).to_string();
     let bearer = format!("Bearer {}", credential("vakwerk"));
-    let mut all = vec![
+    let mut all_headers = vec![
         ("x-workspace", "vakwerk"),
         ("authorization", bearer.as_str()),
     ];
-    all.extend_from_slice(headers);
-    send(version, addr, Method::POST, &path, &body, &all).await
+    all_headers.extend_from_slice(headers);
+    send(version, addr, Method::POST, &path, &body, &all_headers).await
 }
 
-/// Sends any request; a later header replaces an earlier one of the same name.
+/// Sends a request; a later header replaces an earlier one of the same name.
 pub async fn send(
     version: Version,
     addr: SocketAddr,
@@ -252,22 +253,22 @@
         let mut connection = Connection::open(addr, version).await.unwrap();
         connection.send(request).await.unwrap()
     };
-    time::timeout(WAIT, exchange).await.unwrap()
+    time::timeout(TIMEOUT, exchange).await.unwrap()
 }
 
-pub async fn read_body(reply: Response<Incoming>) -> Bytes {
-    let body = time::timeout(WAIT, reply.into_body().collect()).await;
+pub async fn read_body(response: Response<Incoming>) -> Bytes {
+    let body = time::timeout(TIMEOUT, response.into_body().collect()).await;
     body.unwrap().unwrap().to_bytes()
 }
 
-pub async fn read_answer(reply: Response<Incoming>) -> (StatusCode, Answer) {
-    let status = reply.status();
-    let body = read_body(reply).await;
+pub async fn read_answer(response: Response<Incoming>) -> (StatusCode, Answer) {
+    let status = response.status();
+    let body = read_body(response).await;
     (status, serde_json::from_slice(&body).unwrap())
 }
 
-/// Sends a request of the operator.
-pub async fn operate(
+/// Sends a request to the operators' interface.
+pub async fn send_as_operator(
     addr: SocketAddr,
     method: Method,
     path: &str,
@@ -275,7 +276,7 @@
 ) -> (StatusCode, Value) {
     let bearer = format!("Bearer {OPERATOR_CREDENTIAL}");
     let headers = [("authorization", bearer.as_str()), ("x-operator", "anna")];
-    let reply = send(
+    let response = send(
         Version::Http1,
         addr,
         method,
@@ -284,13 +285,13 @@
         &headers,
     )
     .await;
-    let status = reply.status();
-    let body = read_body(reply).await;
+    let status = response.status();
+    let body = read_body(response).await;
     (status, serde_json::from_slice(&body).unwrap_or(Value::Null))
 }
 
 pub async fn plan(admin: SocketAddr, intent: &Value) -> Plan {
-    let (status, plan) = operate(admin, Method::POST, "/admin/v1/plans", intent).await;
+    let (status, plan) = send_as_operator(admin, Method::POST, "/admin/v1/plans", intent).await;
     assert_eq!(status, StatusCode::OK, "{plan}");
     serde_json::from_value(plan).unwrap()
 }
@@ -298,28 +299,28 @@
 pub async fn confirm(admin: SocketAddr, intent: &Value) -> Confirmation {
     let plan = json!(plan(admin, intent).await);
     let (status, confirmation) =
-        operate(admin, Method::POST, "/admin/v1/confirmations", &plan).await;
+        send_as_operator(admin, Method::POST, "/admin/v1/confirmations", &plan).await;
     assert_eq!(status, StatusCode::OK, "{confirmation}");
     serde_json::from_value(confirmation).unwrap()
 }
 
-pub async fn wait_until(what: &str, mut is_so: impl FnMut() -> bool) {
-    let waiting = async {
-        while !is_so() {
+pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let poll = async {
+        while !condition() {
             time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let waited = time::timeout(WAIT, waiting).await;
-    assert!(waited.is_ok(), "waited for: {what}");
+    let result = time::timeout(TIMEOUT, poll).await;
+    assert!(result.is_ok(), "waited for: {what}");
 }
 
-/// Has a ticket issued to the workspace `vakwerk`.
-pub async fn take_ticket(caller: SocketAddr) -> String {
+/// Requests a ticket for workspace `vakwerk`.
+pub async fn request_ticket(caller: SocketAddr) -> String {
     let bearer = format!("Bearer {}", credential("vakwerk"));
     let headers = [("x-workspace", "vakwerk"), ("authorization", &*bearer)];
     let path = "/v1/tickets";
-    let reply = send(Version::Http1, caller, Method::POST, path, "", &headers).await;
-    assert_eq!(reply.status(), StatusCode::CREATED);
-    let body = read_body(reply).await;
+    let response = send(Version::Http1, caller, Method::POST, path, "", &headers).await;
+    assert_eq!(response.status(), StatusCode::CREATED);
+    let body = read_body(response).await;
     serde_json::from_slice::<Ticket>(&body).unwrap().ticket
 }
--- a/crates/server/tests/config_processes.rs
+++ b/crates/server/tests/config_processes.rs
@@ -1,4 +1,4 @@
-//! Configuration on real processes that are frozen, killed and cut off.
+//! Configuration changes across processes that are frozen, killed and partitioned.
 
 mod common;
 #[path = "common/process.rs"]
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use common::{operate, plan, settings_text};
+use common::{plan, send_as_operator, settings_text};
 use http::{Method, StatusCode};
 use process::Entry;
 use savoryvane_standins::{
@@ -23,18 +23,18 @@
 use tokio::time::{self, Instant};
 
 const ZONES: [&str; 2] = ["hal-gouda", "hal-utrecht"];
-const CONFIRM: &str = "/admin/v1/confirmations";
-const SETTLE: Duration = Duration::from_secs(15);
-/// Time for duties to be taken up.
-const DUTIES: Duration = Duration::from_millis(1_500);
-const LIMIT: Duration = Duration::from_secs(4);
+const CONFIRM_PATH: &str = "/admin/v1/confirmations";
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time for the processes to take over or give up following the log.
+const ROLE_CHANGE_TIME: Duration = Duration::from_millis(1_500);
+const IN_FORCE_LIMIT: Duration = Duration::from_secs(4);
 
-/// A log, a list and processes in two availability zones.
+/// A log, an instance list and entry processes in two availability zones.
 struct Cluster {
     log: LogServer,
     list: ListServer,
     entries: Vec<Entry>,
-    extra: String,
+    platform_settings: String,
 }
 
 impl Cluster {
@@ -51,37 +51,40 @@
             log: log.await.unwrap(),
             list: ListServer::start(ListSettings::default()).await.unwrap(),
             entries: Vec::new(),
-            extra: format!("retention_ms: {retention_ms}, "),
+            platform_settings: format!("retention_ms: {retention_ms}, "),
         };
         for _ in 0..processes {
             cluster.add().await;
         }
-        cluster.settle().await;
+        cluster.wait_settled().await;
         cluster
     }
 
-    /// Waits until every process knows the others of its zone and those that
-    /// are not to follow the log have stopped to.
-    async fn settle(&self) {
+    /// Waits until every process sees all members of its zone, and until the
+    /// processes that need not follow the log have stopped following it.
+    async fn wait_settled(&self) {
         let start = Instant::now();
         for index in 0..self.entries.len() {
-            while !self.knows_its_zone(index).await {
-                assert!(start.elapsed() < SETTLE, "entry-{index} is alone");
+            while !self.sees_whole_zone(index).await {
+                assert!(
+                    start.elapsed() < SETTLE_TIMEOUT,
+                    "entry-{index} does not see its whole zone"
+                );
                 time::sleep(Duration::from_millis(20)).await;
             }
         }
-        time::sleep(DUTIES).await;
+        time::sleep(ROLE_CHANGE_TIME).await;
     }
 
-    async fn knows_its_zone(&self, index: usize) -> bool {
+    async fn sees_whole_zone(&self, index: usize) -> bool {
         let views = self.get(index, "/admin/v1/instances").await;
         let views: Vec<InstanceView> = serde_json::from_value(views).unwrap();
         let zone = ZONES[index % 2];
-        let of_zone = views.iter().filter(|view| view.zone.as_str() == zone);
-        of_zone.filter(|view| view.state == "live").count() == self.in_zone(zone)
+        let zone_views = views.iter().filter(|view| view.zone.as_str() == zone);
+        zone_views.filter(|view| view.state == "live").count() == self.zone_size(zone)
     }
 
-    fn in_zone(&self, zone: &str) -> usize {
+    fn zone_size(&self, zone: &str) -> usize {
         (0..self.entries.len())
             .filter(|index| ZONES[index % 2] == zone)
             .count()
@@ -97,9 +100,12 @@
         let (name, zone) = (format!("entry-{index}"), ZONES[index % 2]);
         let settings = settings_text(&name, log, self.list.addr(), "")
             .replace(common::ZONE, zone)
-            .replace("platform: {", &format!("platform: {{{}", self.extra));
-        let started = tokio::task::spawn_blocking(move || Entry::start(&settings));
-        let entry = started.await.unwrap();
+            .replace(
+                "platform: {",
+                &format!("platform: {{{}", self.platform_settings),
+            );
+        let spawned = tokio::task::spawn_blocking(move || Entry::start(&settings));
+        let entry = spawned.await.unwrap();
         self.list.put(Listed {
             name,
             role: ListedRole::Entry,
@@ -113,7 +119,7 @@
 
     async fn get(&self, index: usize, path: &str) -> Value {
         let admin = self.entries[index].admin;
-        let (status, value) = operate(admin, Method::GET, path, &Value::Null).await;
+        let (status, value) = send_as_operator(admin, Method::GET, path, &Value::Null).await;
         assert_eq!(status, StatusCode::OK, "{value}");
         value
     }
@@ -122,17 +128,18 @@
         serde_json::from_value(self.get(index, "/admin/v1/status").await).unwrap()
     }
 
-    /// Confirms a new price at a process and returns the offset that follows.
-    async fn change(&self, index: usize, micros: u64) -> u64 {
+    /// Confirms a new price at a process and returns the offset after the change.
+    async fn confirm_price(&self, index: usize, micros: u64) -> u64 {
         let admin = self.entries[index].admin;
-        let plan = json!(plan(admin, &price(micros)).await);
-        let (status, body) = operate(admin, Method::POST, CONFIRM, &plan).await;
+        let plan = json!(plan(admin, &price_intent(micros)).await);
+        let (status, body) = send_as_operator(admin, Method::POST, CONFIRM_PATH, &plan).await;
         assert_eq!(status, StatusCode::OK, "{body}");
         let confirmation: Confirmation = serde_json::from_value(body).unwrap();
         confirmation.offset.0 + 1
     }
 
-    /// Waits until all of `among` are ready and at `next`, within the limit.
+    /// Waits until all processes in `among` are ready and have reached offset `next`,
+    /// at most for [`IN_FORCE_LIMIT`].
     async fn wait_in_force(&self, next: u64, among: &[usize]) -> Duration {
         let start = Instant::now();
         for index in among {
@@ -141,7 +148,10 @@
                 if status.ready && status.config_next.0 >= next {
                     break;
                 }
-                assert!(start.elapsed() < LIMIT, "entry-{index}: {status:?}");
+                assert!(
+                    start.elapsed() < IN_FORCE_LIMIT,
+                    "entry-{index}: {status:?}"
+                );
                 time::sleep(Duration::from_millis(2)).await;
             }
         }
@@ -162,8 +172,8 @@
     }
 }
 
-/// Starts a path to the log that can be cut.
-async fn relay_to(log: &LogServer) -> Relay {
+/// Starts a relay to the log, whose link can be cut.
+async fn start_relay(log: &LogServer) -> Relay {
     let any = "127.0.0.1:0".parse().unwrap();
     let relay = Relay::start(RelaySettings {
         addr: any,
@@ -173,30 +183,30 @@
     relay.await.unwrap()
 }
 
-fn price(micros: u64) -> Value {
+fn price_intent(micros: u64) -> Value {
     json!({ "pools": [{ "name": "encode", "kind": "encode", "price_micros_per_s": micros }] })
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn processes_have_a_change_in_force_within_4_s_while_some_are_frozen() {
     let cluster = Cluster::start(8).await;
-    let next = cluster.change(0, 1).await;
+    let next = cluster.confirm_price(0, 1).await;
     println!("8 processes: {:?}", cluster.wait_all_in_force(next).await);
     let zone = [0, 2, 4, 6];
-    // Two of the zone follow the log; in most rounds both are frozen.
-    for awake in zone {
-        let frozen: Vec<_> = zone.into_iter().filter(|index| *index != awake).collect();
+    // Two processes of the zone follow the log; most rounds freeze both.
+    for running in zone {
+        let frozen: Vec<_> = zone.into_iter().filter(|index| *index != running).collect();
         for index in &frozen {
             cluster.entries[*index].signal("-STOP");
         }
-        let next = cluster.change(7, 10 + awake as u64).await;
-        let took = cluster.wait_in_force(next, &[awake, 1, 3, 5, 7]).await;
-        println!("3 of a zone's 4 processes frozen: {took:?}");
+        let next = cluster.confirm_price(7, 10 + running as u64).await;
+        let elapsed = cluster.wait_in_force(next, &[running, 1, 3, 5, 7]).await;
+        println!("3 of a zone's 4 processes frozen: {elapsed:?}");
         for index in &frozen {
             cluster.entries[*index].signal("-CONT");
         }
         cluster.wait_all_in_force(next).await;
-        time::sleep(DUTIES).await;
+        time::sleep(ROLE_CHANGE_TIME).await;
     }
     cluster.assert_same_objects(&[0, 1, 2, 3, 4, 5, 6, 7]).await;
 }
@@ -204,16 +214,16 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn operators_at_two_processes_get_one_winner_and_one_conflict() {
     let cluster = Cluster::start(4).await;
-    let next = cluster.change(0, 1).await;
+    let next = cluster.confirm_price(0, 1).await;
     cluster.wait_all_in_force(next).await;
     let admins = [cluster.entries[0].admin, cluster.entries[3].admin];
     let plans = [
-        json!(plan(admins[0], &price(2)).await),
-        json!(plan(admins[1], &price(3)).await),
+        json!(plan(admins[0], &price_intent(2)).await),
+        json!(plan(admins[1], &price_intent(3)).await),
     ];
     let (first, second) = tokio::join!(
-        operate(admins[0], Method::POST, CONFIRM, &plans[0]),
-        operate(admins[1], Method::POST, CONFIRM, &plans[1]),
+        send_as_operator(admins[0], Method::POST, CONFIRM_PATH, &plans[0]),
+        send_as_operator(admins[1], Method::POST, CONFIRM_PATH, &plans[1]),
     );
     let mut statuses = [first.0, second.0];
     statuses.sort();
@@ -231,7 +241,7 @@
         lose_append_answers: true,
         ..LogFaults::default()
     });
-    let next = cluster.change(0, 1).await;
+    let next = cluster.confirm_price(0, 1).await;
     drop(cluster.entries.remove(0));
     cluster.wait_all_in_force(next).await;
     let history = cluster.get(0, "/admin/v1/history").await;
@@ -241,7 +251,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_new_process_starts_from_a_peer_while_the_log_is_down() {
     let mut cluster = Cluster::start(4).await;
-    let next = cluster.change(0, 1).await;
+    let next = cluster.confirm_price(0, 1).await;
     cluster.wait_all_in_force(next).await;
     cluster.log.set_faults(LogFaults {
         outage: true,
@@ -254,10 +264,10 @@
     let age_ms = cluster.status(new).await.config_age_ms;
     assert!((1_500..60_000).contains(&age_ms), "{age_ms}");
     time::sleep(Duration::from_secs(2)).await;
-    let plan = plan(cluster.entries[new].admin, &price(2)).await;
+    let plan = plan(cluster.entries[new].admin, &price_intent(2)).await;
     assert!(plan.warnings.iter().any(|x| x.contains("s ago")));
     cluster.log.set_faults(LogFaults::default());
-    let next = cluster.change(new, 2).await;
+    let next = cluster.confirm_price(new, 2).await;
     cluster.wait_all_in_force(next).await;
 }
 
@@ -265,7 +275,7 @@
 async fn a_new_process_waits_while_the_log_and_the_list_are_down() {
     for is_log_first in [true, false] {
         let mut cluster = Cluster::start(4).await;
-        let next = cluster.change(0, 1).await;
+        let next = cluster.confirm_price(0, 1).await;
         cluster.wait_all_in_force(next).await;
         cluster.log.set_faults(LogFaults {
             outage: true,
@@ -285,14 +295,14 @@
             true => cluster.log.set_faults(LogFaults::default()),
             false => cluster.list.set_faults(ListFaults { outage: false }),
         }
-        let took = cluster.wait_in_force(next, &[new]).await;
-        println!("log first: {is_log_first}: {took:?}");
+        let elapsed = cluster.wait_in_force(next, &[new]).await;
+        println!("log first: {is_log_first}: {elapsed:?}");
         cluster.assert_same_objects(&[0, new]).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_process_without_configuration_makes_no_plan() {
+async fn a_process_without_configuration_refuses_to_plan() {
     let mut cluster = Cluster::start(0).await;
     cluster.log.set_faults(LogFaults {
         outage: true,
@@ -300,82 +310,83 @@
     });
     cluster.add().await;
     let admin = cluster.entries[0].admin;
-    let (status, body) = operate(admin, Method::POST, "/admin/v1/plans", &price(1)).await;
+    let (status, body) =
+        send_as_operator(admin, Method::POST, "/admin/v1/plans", &price_intent(1)).await;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE, "{body}");
     cluster.log.set_faults(LogFaults::default());
     cluster.wait_in_force(0, &[0]).await;
-    cluster.change(0, 1).await;
+    cluster.confirm_price(0, 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_process_cut_off_the_log_follows_through_its_peers() {
     let mut cluster = Cluster::start(4).await;
-    let relay = relay_to(&cluster.log).await;
-    let off_log = cluster.add_with_log(relay.addr()).await;
-    cluster.settle().await;
-    let next = cluster.change(0, 1).await;
+    let relay = start_relay(&cluster.log).await;
+    let partitioned = cluster.add_with_log(relay.addr()).await;
+    cluster.wait_settled().await;
+    let next = cluster.confirm_price(0, 1).await;
     cluster.wait_all_in_force(next).await;
-    // A cut holds connections open in silence, as a lost route does.
+    // A cut link keeps connections open without traffic, like a lost route.
     relay.set_faults(LinkFaults {
         cut: true,
         ..LinkFaults::default()
     });
     for micros in 2..5 {
-        let next = cluster.change(1, micros).await;
-        let took = cluster.wait_in_force(next, &[off_log]).await;
-        println!("a process cut off the log: {took:?}");
+        let next = cluster.confirm_price(1, micros).await;
+        let elapsed = cluster.wait_in_force(next, &[partitioned]).await;
+        println!("a process cut off the log: {elapsed:?}");
     }
     relay.set_faults(LinkFaults::default());
-    let next = cluster.change(off_log, 9).await;
+    let next = cluster.confirm_price(partitioned, 9).await;
     cluster.wait_all_in_force(next).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_cut_off_the_log_follows_through_another_zone() {
     let mut cluster = Cluster::start(0).await;
-    let relay = relay_to(&cluster.log).await;
+    let relay = start_relay(&cluster.log).await;
     for index in 0..6 {
         let log = [relay.addr(), cluster.log.addr()][index % 2];
         cluster.add_with_log(log).await;
     }
-    cluster.settle().await;
-    let next = cluster.change(1, 1).await;
+    cluster.wait_settled().await;
+    let next = cluster.confirm_price(1, 1).await;
     cluster.wait_all_in_force(next).await;
     relay.set_faults(LinkFaults {
         cut: true,
         ..LinkFaults::default()
     });
     for micros in 2..6 {
-        let next = cluster.change(1, micros).await;
-        let took = cluster.wait_in_force(next, &[0, 2, 4]).await;
-        println!("a zone cut off the log: {took:?}");
+        let next = cluster.confirm_price(1, micros).await;
+        let elapsed = cluster.wait_in_force(next, &[0, 2, 4]).await;
+        println!("a zone cut off the log: {elapsed:?}");
     }
     relay.set_faults(LinkFaults::default());
-    let next = cluster.change(0, 9).await;
+    let next = cluster.confirm_price(0, 9).await;
     cluster.wait_all_in_force(next).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_held_back_by_the_log_is_told_and_applied_later() {
     let cluster = Cluster::start(3).await;
-    let next = cluster.change(0, 1).await;
+    let next = cluster.confirm_price(0, 1).await;
     cluster.wait_all_in_force(next).await;
     cluster.log.set_faults(LogFaults {
         pause_delivery: true,
         ..LogFaults::default()
     });
     let admin = cluster.entries[0].admin;
-    let plan = json!(plan(admin, &price(2)).await);
-    let (status, body) = operate(admin, Method::POST, CONFIRM, &plan).await;
+    let plan = json!(plan(admin, &price_intent(2)).await);
+    let (status, body) = send_as_operator(admin, Method::POST, CONFIRM_PATH, &plan).await;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE, "{body}");
     assert!(
         body["error"].as_str().unwrap().contains("not read back"),
         "{body}"
     );
     cluster.log.set_faults(LogFaults::default());
-    // The repeat of the same plan, at another process, finds the first.
+    // Repeating the plan at another process finds the first confirmation.
     let other = cluster.entries[2].admin;
-    let (status, body) = operate(other, Method::POST, CONFIRM, &plan).await;
+    let (status, body) = send_as_operator(other, Method::POST, CONFIRM_PATH, &plan).await;
     assert_eq!(status, StatusCode::OK, "{body}");
     assert_eq!(body["offset"], json!(next));
     cluster.wait_all_in_force(next + 1).await;
@@ -384,12 +395,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_process_trimmed_past_its_offset_takes_the_state_from_a_peer() {
     let cluster = Cluster::start(4).await;
-    let next = cluster.change(0, 1).await;
+    let next = cluster.confirm_price(0, 1).await;
     cluster.wait_all_in_force(next).await;
     cluster.entries[3].signal("-STOP");
     let mut next = next;
     for micros in 2..6 {
-        next = cluster.change(0, micros).await;
+        next = cluster.confirm_price(0, micros).await;
     }
     cluster.log.set_faults(LogFaults {
         trim: true,
@@ -403,10 +414,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn hostile_records_change_nothing_and_hold_nobody_up() {
     let cluster = Cluster::start(3).await;
-    let next = cluster.change(0, 1).await;
+    let next = cluster.confirm_price(0, 1).await;
     cluster.wait_all_in_force(next).await;
     let expected = cluster.get(0, "/admin/v1/objects").await;
-    let mut forged = plan(cluster.entries[0].admin, &price(66)).await.change;
+    let mut forged = plan(cluster.entries[0].admin, &price_intent(66))
+        .await
+        .change;
     forged.operator = "mallory".into();
     let forged = json!({ "version": 1, "record": { "change": forged } });
     let hostile = [
@@ -431,7 +444,7 @@
     for index in 0..3 {
         assert_eq!(cluster.get(index, "/admin/v1/objects").await, expected);
     }
-    let next = cluster.change(2, 2).await;
+    let next = cluster.confirm_price(2, 2).await;
     cluster.wait_all_in_force(next).await;
 }
 
@@ -440,19 +453,19 @@
     let mut cluster = Cluster::with_retention(3, 3_000).await;
     let mut next = 0;
     for micros in 1..4 {
-        next = cluster.change(0, micros).await;
+        next = cluster.confirm_price(0, micros).await;
     }
     cluster.wait_all_in_force(next).await;
     let expected = cluster.get(0, "/admin/v1/objects").await;
     time::sleep(Duration::from_secs(7)).await;
-    // All are killed at once: only the log is left.
+    // Kills all processes, so that only the log retains the configuration.
     cluster.entries.clear();
     for _ in 0..2 {
         cluster.add().await;
     }
     cluster.wait_all_in_force(next).await;
     assert_eq!(cluster.get(1, "/admin/v1/objects").await, expected);
-    let kept = cluster.log.payloads(CONFIG_STREAM);
+    let retained = cluster.log.payloads(CONFIG_STREAM);
     let is_change = |payload: &Vec<u8>| payload.windows(8).any(|x| x == b"\"change\"");
-    assert!(!kept.iter().any(is_change), "the changes have expired");
+    assert!(!retained.iter().any(is_change), "the changes have expired");
 }
--- a/crates/server/tests/hostile.rs
+++ b/crates/server/tests/hostile.rs
@@ -1,8 +1,8 @@
-//! Input that no honest sender makes: settings and records of the log.
+//! Malformed and malicious input: settings files and records of the log.
 
 mod common;
 
-use common::{Deployment, operate};
+use common::{Deployment, send_as_operator};
 use http::{Method, StatusCode};
 use quickcheck::{Gen, QuickCheck, Testable};
 use savoryvane_server::Settings;
@@ -12,7 +12,7 @@
 
 const EXAMPLE: &str = include_str!("../examples/entry.yaml");
 
-/// What may stand after the colon of a line.
+/// Values to put after the key of a settings line.
 const VALUES: [&str; 14] = [
     "",
     "~",
@@ -39,11 +39,11 @@
         .quickcheck(property);
 }
 
-fn is_read_or_refused(text: &str) -> bool {
-    Settings::parse(text).map_or_else(|faults| !faults.list().is_empty(), |_| true)
+fn is_accepted_or_rejected(text: &str) -> bool {
+    Settings::parse(text).map_or_else(|problems| !problems.list().is_empty(), |_| true)
 }
 
-fn with_line(index: usize, line: &str) -> String {
+fn replace_line(index: usize, line: &str) -> String {
     let mut lines: Vec<&str> = EXAMPLE.lines().collect();
     lines[index] = line;
     lines.join("\n")
@@ -52,7 +52,7 @@
 #[test]
 fn settings_of_any_text_are_read_or_refused() {
     fn property(text: String) -> bool {
-        is_read_or_refused(&text)
+        is_accepted_or_rejected(&text)
     }
     check(property as fn(_) -> _);
 }
@@ -60,18 +60,25 @@
 #[test]
 fn settings_with_any_line_replaced_are_read_or_refused() {
     fn property(line: usize, text: String) -> bool {
-        is_read_or_refused(&with_line(line % EXAMPLE.lines().count(), &text))
+        is_accepted_or_rejected(&replace_line(line % EXAMPLE.lines().count(), &text))
     }
     check(property as fn(_, _) -> _);
-    // Random text is hardly ever YAML, so that fields are not looked at.
+    // Random text is rarely valid YAML, so it hardly reaches the checks of the
+    // fields. These lines keep the key and vary the value.
     for (index, line) in EXAMPLE.lines().enumerate() {
-        let twice = format!("{line}\n{line}");
-        assert!(is_read_or_refused(&with_line(index, &twice)), "{line}");
-        assert!(is_read_or_refused(&with_line(index, "")), "{line}");
+        let duplicated = format!("{line}\n{line}");
+        assert!(
+            is_accepted_or_rejected(&replace_line(index, &duplicated)),
+            "{line}"
+        );
+        assert!(is_accepted_or_rejected(&replace_line(index, "")), "{line}");
         let key = line.split_once(':').map_or(line, |(key, _)| key);
         for value in VALUES {
             let line = format!("{key}: {value}");
-            assert!(is_read_or_refused(&with_line(index, &line)), "{line}");
+            assert!(
+                is_accepted_or_rejected(&replace_line(index, &line)),
+                "{line}"
+            );
         }
     }
 }
@@ -100,7 +107,7 @@
     deployment.confirm(&intent).await;
 
     let path = "/admin/v1/status";
-    let (_, status) = operate(deployment.admin(), Method::GET, path, &json!(null)).await;
+    let (_, status) = send_as_operator(deployment.admin(), Method::GET, path, &json!(null)).await;
     assert_eq!(status["config_next"], 8);
-    assert_eq!(deployment.ask(&json!(1)).await.0, StatusCode::OK);
+    assert_eq!(deployment.request_quote(&json!(1)).await.0, StatusCode::OK);
 }
--- a/crates/server/tests/leaving.rs
+++ b/crates/server/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Backend servers that leave get no new work, and interrupt nothing.
+//! Leaving backend servers get no new calls, and their stop interrupts no request.
 
 mod common;
 
@@ -22,35 +22,36 @@
 use serde_json::json;
 use tokio::time::{self, Instant};
 
-/// Time after which a leaving backend server gets no new work.
-const NOTICED: Duration = Duration::from_secs(2);
-/// Time by which the list lags.
+/// Time after which a leaving backend server gets no new calls.
+const DETECTION_TIME: Duration = Duration::from_secs(2);
+/// Propagation delay of the instance list.
 const LIST_LAG: Duration = Duration::from_secs(2);
 
-/// Sends requests one after another until `deadline`; each must be complete.
-/// Returns how many calls were sent beyond the first of each stage.
-async fn ask_until(deployment: &Deployment, deadline: Instant) -> u32 {
-    let mut spare_calls = 0;
+/// Sends requests in sequence until `deadline` and checks that each completes.
+/// Returns the number of calls beyond the first call of each stage.
+async fn send_until(deployment: &Deployment, deadline: Instant) -> u32 {
+    let mut retried_calls = 0;
     while Instant::now() < deadline {
         let input = json!({ "at": format!("{:?}", Instant::now()) });
-        let (status, answer) = deployment.ask(&input).await;
+        let (status, answer) = deployment.request_quote(&input).await;
         assert_eq!(status, StatusCode::OK, "{answer:?}");
         assert_eq!(answer.output, Some(expected(&input)));
-        spare_calls += answer.stages.iter().map(|x| x.calls - 1).sum::<u32>();
+        retried_calls += answer.stages.iter().map(|x| x.calls - 1).sum::<u32>();
     }
-    spare_calls
+    retried_calls
 }
 
-/// Sends streamed requests one after another; each must be complete.
-async fn keep_asking(addr: SocketAddr, asker: u32, is_over: Arc<AtomicBool>) {
+/// Sends streamed requests in sequence until `is_done` is set, and checks that each
+/// completes.
+async fn stream_until_done(addr: SocketAddr, client: u32, is_done: Arc<AtomicBool>) {
     for number in 0.. {
-        if is_over.load(Ordering::Relaxed) {
+        if is_done.load(Ordering::Relaxed) {
             return;
         }
-        let input = json!({ "asker": asker, "number": number });
+        let input = json!({ "asker": client, "number": number });
         let accept = [("accept", "application/x-ndjson")];
-        let reply = submit(addr, "quote", &input, &accept).await;
-        let body = read_body(reply).await;
+        let response = submit(addr, "quote", &input, &accept).await;
+        let body = read_body(response).await;
         let last = body.split(|b| *b == b'\n').rfind(|x| !x.is_empty());
         let last = serde_json::from_slice(last.unwrap()).unwrap();
         let AnswerEvent::Final(answer) = last else {
@@ -70,12 +71,15 @@
             ..BackendFaults::default()
         });
     }
-    // Until it is noticed, a refused call costs a second one but no answer.
-    ask_until(&deployment, Instant::now() + NOTICED).await;
+    // Until the state is detected, a refused call is retried and no request fails.
+    send_until(&deployment, Instant::now() + DETECTION_TIME).await;
 
-    let spare_calls = ask_until(&deployment, Instant::now() + Duration::from_secs(1)).await;
+    let retried_calls = send_until(&deployment, Instant::now() + Duration::from_secs(1)).await;
 
-    assert_eq!(spare_calls, 0, "calls were sent to leaving backend servers");
+    assert_eq!(
+        retried_calls, 0,
+        "calls were sent to leaving backend servers"
+    );
 }
 
 #[tokio::test]
@@ -90,16 +94,16 @@
             state: ListedState::Leaving,
         });
     }
-    ask_until(&deployment, Instant::now() + LIST_LAG + NOTICED).await;
-    let ran = |deployment: &Deployment| -> usize {
-        let firsts = deployment.backends.iter().step_by(2);
-        firsts.map(|backend| backend.ran().len()).sum()
+    send_until(&deployment, Instant::now() + LIST_LAG + DETECTION_TIME).await;
+    let count_first_server_calls = |deployment: &Deployment| -> usize {
+        let first_servers = deployment.backends.iter().step_by(2);
+        first_servers.map(|backend| backend.ran().len()).sum()
     };
-    let before = ran(&deployment);
+    let calls_before = count_first_server_calls(&deployment);
 
-    ask_until(&deployment, Instant::now() + Duration::from_secs(1)).await;
+    send_until(&deployment, Instant::now() + Duration::from_secs(1)).await;
 
-    assert_eq!(ran(&deployment), before);
+    assert_eq!(count_first_server_calls(&deployment), calls_before);
 }
 
 #[tokio::test]
@@ -112,20 +116,20 @@
         });
     }
     let addr = deployment.caller();
-    let is_over = Arc::new(AtomicBool::new(false));
-    let askers: Vec<_> = (0..6)
-        .map(|asker| tokio::spawn(keep_asking(addr, asker, Arc::clone(&is_over))))
+    let is_done = Arc::new(AtomicBool::new(false));
+    let clients: Vec<_> = (0..6)
+        .map(|client| tokio::spawn(stream_until_done(addr, client, Arc::clone(&is_done))))
         .collect();
     time::sleep(Duration::from_millis(150)).await;
 
-    // Every first backend server stops, one after another, with streams open.
+    // Stops the first backend server of each stage in sequence, with streams open.
     for index in [6, 4, 2, 0] {
         deployment.backends.remove(index).stop().await;
     }
 
-    is_over.store(true, Ordering::Relaxed);
-    for asker in askers {
-        asker.await.unwrap();
+    is_done.store(true, Ordering::Relaxed);
+    for client in clients {
+        client.await.unwrap();
     }
     let input = json!("afterwards");
     let (status, answer) = read_answer(submit(addr, "quote", &input, &[]).await).await;
--- a/crates/server/tests/members_processes.rs
+++ b/crates/server/tests/members_processes.rs
@@ -1,6 +1,5 @@
-//! Nine instances as processes in three availability zones: they find each other,
-//! one is frozen, killed, restarted at its address and stopped, and a quota is
-//! shared.
+//! Membership and quota sharing of nine instance processes in three availability
+//! zones. Instances are frozen, killed, restarted at the same address and stopped.
 
 mod common;
 #[path = "common/process.rs"]
@@ -9,7 +8,9 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use common::{KINDS, confirm, credential, intent, operate, send, sha256, start_backends, submit};
+use common::{
+    KINDS, confirm, credential, intent, send, send_as_operator, sha256, start_backends, submit,
+};
 use http::{Method, StatusCode};
 use process::Entry;
 use savoryvane_standins::{
@@ -23,37 +24,40 @@
 use tokio::time::{self, Instant};
 
 const ZONES: [&str; 3] = ["hal-utrecht", "hal-amersfoort", "hal-gouda"];
-const COUNT: usize = 9;
+const INSTANCES: usize = 9;
 
-struct Nine {
+struct Cluster {
     log: LogServer,
     list: ListServer,
     backends: Vec<BackendServer>,
     entries: Vec<Entry>,
 }
 
-impl Nine {
+impl Cluster {
     async fn start() -> Self {
         let backends = start_backends().await;
-        let mut nine = Self {
+        let mut cluster = Self {
             log: LogServer::start(LogSettings::default()).await.unwrap(),
             list: ListServer::start(ListSettings::default()).await.unwrap(),
             backends,
             entries: Vec::new(),
         };
-        for index in 0..COUNT {
-            let entry = nine.entry(index, "127.0.0.1:0".parse().unwrap()).await;
-            nine.list.put(listed(index, entry.peer));
-            nine.entries.push(entry);
+        for index in 0..INSTANCES {
+            let entry = cluster
+                .start_entry(index, "127.0.0.1:0".parse().unwrap())
+                .await;
+            cluster.list.put(listed(index, entry.peer));
+            cluster.entries.push(entry);
         }
-        nine.wait("everyone is live", 15, |views| {
-            views.iter().all(|view| view.state == "live")
-        })
-        .await;
-        nine
+        cluster
+            .wait_views("all instances are live", 15, |views| {
+                views.iter().all(|view| view.state == "live")
+            })
+            .await;
+        cluster
     }
 
-    async fn entry(&self, index: usize, peer: SocketAddr) -> Entry {
+    async fn start_entry(&self, index: usize, peer: SocketAddr) -> Entry {
         let settings = format!(
             "instance: entry-{index}\nzone: {}\nregion: nl-midden\n\
              listen: {{caller: '127.0.0.1:0', peer: '{peer}', admin: '127.0.0.1:0'}}\n\
@@ -69,38 +73,40 @@
         started.await.unwrap()
     }
 
-    async fn views(&self, at: usize) -> Vec<InstanceView> {
-        let admin = self.entries[at].admin;
-        let (status, views) = operate(admin, Method::GET, "/admin/v1/instances", &json!({})).await;
+    async fn views(&self, observer: usize) -> Vec<InstanceView> {
+        let admin = self.entries[observer].admin;
+        let (status, views) =
+            send_as_operator(admin, Method::GET, "/admin/v1/instances", &json!({})).await;
         assert_eq!(status, StatusCode::OK);
         serde_json::from_value(views).unwrap()
     }
 
-    async fn state(&self, at: usize, of: usize) -> String {
-        let views = self.views(at).await;
-        let name = format!("entry-{of}");
+    async fn state(&self, observer: usize, subject: usize) -> String {
+        let views = self.views(observer).await;
+        let name = format!("entry-{subject}");
         let view = views.into_iter().find(|view| view.name.as_str() == name);
         view.map(|view| view.state).unwrap_or_default()
     }
 
-    /// Waits until what every instance sees holds; returns the time it took.
-    async fn wait(
+    /// Waits until `condition` holds for the view of every instance. Returns the time
+    /// it took.
+    async fn wait_views(
         &self,
         what: &str,
         limit_s: u64,
-        holds: impl Fn(&[InstanceView]) -> bool,
+        condition: impl Fn(&[InstanceView]) -> bool,
     ) -> Duration {
         let start = Instant::now();
-        for at in 0..COUNT {
+        for observer in 0..INSTANCES {
             loop {
-                let views = self.views(at).await;
-                if views.len() == COUNT && holds(&views) {
+                let views = self.views(observer).await;
+                if views.len() == INSTANCES && condition(&views) {
                     break;
                 }
-                let waited = start.elapsed();
+                let elapsed = start.elapsed();
                 assert!(
-                    waited < Duration::from_secs(limit_s),
-                    "{what}, at {at}: {views:?}"
+                    elapsed < Duration::from_secs(limit_s),
+                    "{what}, at {observer}: {views:?}"
                 );
                 time::sleep(Duration::from_millis(20)).await;
             }
@@ -108,25 +114,32 @@
         start.elapsed()
     }
 
-    async fn wait_state(&self, at: usize, of: usize, state: &str, limit_s: u64) -> Duration {
+    async fn wait_state(
+        &self,
+        observer: usize,
+        subject: usize,
+        state: &str,
+        limit_s: u64,
+    ) -> Duration {
         let start = Instant::now();
         loop {
-            let seen = self.state(at, of).await;
-            if seen == state {
+            let observed = self.state(observer, subject).await;
+            if observed == state {
                 return start.elapsed();
             }
-            let waited = start.elapsed();
+            let elapsed = start.elapsed();
             assert!(
-                waited < Duration::from_secs(limit_s),
-                "{of} at {at} is {seen}, not {state}"
+                elapsed < Duration::from_secs(limit_s),
+                "{subject} at {observer} is {observed}, not {state}"
             );
             time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    async fn reach(&self, at: usize, offset: u64) -> Reach {
+    async fn reach(&self, observer: usize, offset: u64) -> Reach {
         let path = format!("/admin/v1/reach?offset={offset}");
-        let (_, reach) = operate(self.entries[at].admin, Method::GET, &path, &json!({})).await;
+        let (_, reach) =
+            send_as_operator(self.entries[observer].admin, Method::GET, &path, &json!({})).await;
         serde_json::from_value(reach).unwrap()
     }
 
@@ -153,63 +166,69 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn nine_processes_know_each_other_through_freeze_kill_restart_and_stop() {
-    let mut nine = Nine::start().await;
+    let mut cluster = Cluster::start().await;
 
-    let confirmation = confirm(nine.entries[0].admin, &nine.intent()).await;
+    let confirmation = confirm(cluster.entries[0].admin, &cluster.intent()).await;
     let start = Instant::now();
-    for at in 0..COUNT {
+    for observer in 0..INSTANCES {
         loop {
-            let reach = nine.reach(at, confirmation.offset.0).await;
+            let reach = cluster.reach(observer, confirmation.offset.0).await;
             if (reach.in_force, reach.listed) == (9, 9) {
                 break;
             }
-            assert!(start.elapsed() < Duration::from_secs(4), "{at}: {reach:?}");
+            assert!(
+                start.elapsed() < Duration::from_secs(4),
+                "{observer}: {reach:?}"
+            );
             time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    // Instances 0, 3 and 6 stand in one zone.
-    nine.entries[3].signal("-STOP");
-    nine.wait_state(0, 3, "silent", 10).await;
-    assert_eq!(nine.state(0, 6).await, "live");
-    nine.entries[3].signal("-CONT");
-    nine.wait_state(0, 3, "live", 6).await;
-    nine.wait_state(3, 0, "live", 6).await;
-
-    let peer = nine.entries[6].peer;
-    nine.entries[6].signal("-KILL");
-    nine.wait_state(0, 6, "silent", 10).await;
-    nine.entries[6] = nine.entry(6, peer).await;
-    nine.wait_state(0, 6, "live", 6).await;
-    nine.wait_state(6, 3, "live", 6).await;
-
-    nine.entries[6].terminate();
-    let took = nine.wait_state(0, 6, "leaving", 4).await;
-    assert!(took < Duration::from_millis(2_000), "{took:?}");
-    nine.wait_state(3, 6, "leaving", 4).await;
+    // Instances 0, 3 and 6 are in the same zone.
+    cluster.entries[3].signal("-STOP");
+    cluster.wait_state(0, 3, "silent", 10).await;
+    assert_eq!(cluster.state(0, 6).await, "live");
+    cluster.entries[3].signal("-CONT");
+    cluster.wait_state(0, 3, "live", 6).await;
+    cluster.wait_state(3, 0, "live", 6).await;
+
+    let peer = cluster.entries[6].peer;
+    cluster.entries[6].signal("-KILL");
+    cluster.wait_state(0, 6, "silent", 10).await;
+    cluster.entries[6] = cluster.start_entry(6, peer).await;
+    cluster.wait_state(0, 6, "live", 6).await;
+    cluster.wait_state(6, 3, "live", 6).await;
+
+    cluster.entries[6].terminate();
+    let elapsed_until_leaving = cluster.wait_state(0, 6, "leaving", 4).await;
+    assert!(
+        elapsed_until_leaving < Duration::from_millis(2_000),
+        "{elapsed_until_leaving:?}"
+    );
+    cluster.wait_state(3, 6, "leaving", 4).await;
 }
 
-async fn admitted(entry: &Entry, requests: usize) -> (usize, usize) {
+async fn count_admitted(entry: &Entry, requests: usize) -> (usize, usize) {
     let input = json!({ "text": "gilded sign" });
-    let (mut taken, mut over) = (0, 0);
+    let (mut admitted, mut over_quota) = (0, 0);
     for _ in 0..requests {
-        let reply = submit(entry.caller, "quote", &input, &[]).await;
-        match reply.status() {
-            StatusCode::TOO_MANY_REQUESTS => over += 1,
-            _ => taken += 1,
+        let response = submit(entry.caller, "quote", &input, &[]).await;
+        match response.status() {
+            StatusCode::TOO_MANY_REQUESTS => over_quota += 1,
+            _ => admitted += 1,
         }
     }
-    (taken, over)
+    (admitted, over_quota)
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn nine_processes_share_a_quota_and_one_busy_instance_borrows_it() {
-    let nine = Nine::start().await;
-    let mut intent = nine.intent();
+    let cluster = Cluster::start().await;
+    let mut intent = cluster.intent();
     intent["workspaces"][0]["quota_per_s"] = json!(36);
-    confirm(nine.entries[0].admin, &intent).await;
+    confirm(cluster.entries[0].admin, &intent).await;
     assert_eq!(credential("vakwerk"), "vakwerk-secret");
-    let ready = |entry: &Entry| {
+    let ready_status = |entry: &Entry| {
         let caller = entry.caller;
         async move {
             send(Version::Http1, caller, Method::GET, "/ready", "", &[])
@@ -217,29 +236,33 @@
                 .status()
         }
     };
-    for entry in &nine.entries {
-        while ready(entry).await != StatusCode::OK {
+    for entry in &cluster.entries {
+        while ready_status(entry).await != StatusCode::OK {
             time::sleep(Duration::from_millis(20)).await;
         }
     }
-    // New homes raise nobody for some seconds.
+    // A new home raises no instance's share for some seconds.
     time::sleep(Duration::from_secs(14)).await;
     let start = Instant::now();
-    let (mut taken, mut over) = (0, 0);
+    let (mut admitted, mut over_quota) = (0, 0);
     while start.elapsed() < Duration::from_secs(6) {
-        let (more, refused) = admitted(&nine.entries[4], 5).await;
-        taken += more;
-        over += refused;
+        let (newly_admitted, refused) = count_admitted(&cluster.entries[4], 5).await;
+        admitted += newly_admitted;
+        over_quota += refused;
         time::sleep(Duration::from_millis(20)).await;
     }
     let elapsed_s = start.elapsed().as_secs_f64();
-    let most = 36.0 * elapsed_s + 2.5 * 36.0 + 27.0;
-    assert!(taken as f64 <= most, "{taken} of {}", taken + over);
-    // Its own ninth alone would be 4 a second and 8 at once.
-    let alone = 4.0 * elapsed_s + 8.0;
+    let max_admitted = 36.0 * elapsed_s + 2.5 * 36.0 + 27.0;
+    assert!(
+        admitted as f64 <= max_admitted,
+        "{admitted} of {}",
+        admitted + over_quota
+    );
+    // The instance's equal share of one ninth is 4 requests/s and a burst of 8.
+    let equal_share = 4.0 * elapsed_s + 8.0;
     assert!(
-        taken as f64 >= 2.0 * alone,
-        "{taken} of {} in {elapsed_s} s",
-        taken + over
+        admitted as f64 >= 2.0 * equal_share,
+        "{admitted} of {} in {elapsed_s} s",
+        admitted + over_quota
     );
 }
--- a/crates/server/tests/members_transport.rs
+++ b/crates/server/tests/members_transport.rs
@@ -1,5 +1,5 @@
-//! Transport between instances over loopback: requests, gossip, other runs at the
-//! address, hostile bytes and connections that go quiet.
+//! Peer transport over loopback: requests, gossip, restarted or different instances
+//! at an address, malformed bytes, and connections that stop delivering data.
 
 use std::{
     net::SocketAddr,
@@ -73,7 +73,7 @@
     })
 }
 
-async fn serve(me: PeerId) -> (SocketAddr, Arc<Recorder>) {
+async fn start_server(me: PeerId) -> (SocketAddr, Arc<Recorder>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let handler = Arc::new(Recorder::default());
@@ -86,7 +86,7 @@
     (addr, handler)
 }
 
-fn handle_to(addr: SocketAddr) -> PeerHandle {
+fn connect_handle(addr: SocketAddr) -> PeerHandle {
     let (handle, _) = PeerHandle::new(id("entry-1", 1), Logger::root(Discard, o!()));
     handle.set_addrs([Contact {
         instance: "entry-2".into(),
@@ -95,7 +95,7 @@
     handle
 }
 
-async fn ask(
+async fn send_request(
     handle: &PeerHandle,
     incarnation: Option<u64>,
     message: &Message,
@@ -112,59 +112,63 @@
 }
 
 #[tokio::test]
-async fn a_request_gets_its_answer_also_when_large() {
-    let (addr, _) = serve(id("entry-2", 2)).await;
-    let handle = handle_to(addr);
+async fn requests_get_their_response_even_if_it_is_large() {
+    let (addr, _) = start_server(id("entry-2", 2)).await;
+    let handle = connect_handle(addr);
     let query = Message::ConfigSnapshotQuery(savoryvane_wire::peer::ConfigSnapshotQuery {
         covers: None,
         part: 0,
     });
     for _ in 0..4 {
-        assert_eq!(ask(&handle, Some(2), &query).await, Ok(part(700 << 10)));
+        assert_eq!(
+            send_request(&handle, Some(2), &query).await,
+            Ok(part(700 << 10))
+        );
     }
 }
 
 #[tokio::test]
 async fn another_run_or_instance_at_the_address_does_nothing() {
-    let (addr, handler) = serve(id("entry-2", 2)).await;
-    let handle = handle_to(addr);
+    let (addr, handler) = start_server(id("entry-2", 2)).await;
+    let handle = connect_handle(addr);
     let message = Message::Declined(Declined::Absent);
     assert_eq!(
-        ask(&handle, Some(3), &message).await,
+        send_request(&handle, Some(3), &message).await,
         Err(PeerError::Misdirected)
     );
-    let (other, other_handler) = serve(id("entry-9", 2)).await;
-    let handle = handle_to(other);
-    let err = ask(&handle, None, &message).await.unwrap_err();
+    let (other, other_handler) = start_server(id("entry-9", 2)).await;
+    let handle = connect_handle(other);
+    let err = send_request(&handle, None, &message).await.unwrap_err();
     assert!(err.is_nothing_done());
     assert_eq!(handler.requests.load(Ordering::SeqCst), 0);
     assert_eq!(other_handler.requests.load(Ordering::SeqCst), 0);
 }
 
 #[tokio::test]
-async fn a_closed_port_is_nothing_done_and_a_late_answer_is_not() {
+async fn closed_port_reports_nothing_done_and_late_response_does_not() {
     let closed = TcpListener::bind("127.0.0.1:0")
         .await
         .unwrap()
         .local_addr()
         .unwrap();
-    let handle = handle_to(closed);
-    let err = ask(&handle, None, &Message::Declined(Declined::Absent))
+    let handle = connect_handle(closed);
+    let err = send_request(&handle, None, &Message::Declined(Declined::Absent))
         .await
         .unwrap_err();
     assert!(err.is_nothing_done());
-    let (addr, _) = serve(id("entry-2", 2)).await;
+    let (addr, _) = start_server(id("entry-2", 2)).await;
     let timeout = Duration::from_millis(100);
-    let late = handle_to(addr)
+    let late_response = connect_handle(addr)
         .request(&"entry-2".into(), None, &head(), timeout)
         .await;
-    assert!(!late.unwrap_err().is_nothing_done());
+    assert!(!late_response.unwrap_err().is_nothing_done());
 }
 
 #[tokio::test]
-async fn gossip_arrives_in_order_with_its_sender() {
-    let (addr, handler) = serve(id("entry-2", 2)).await;
-    let (handle, mut linked) = PeerHandle::new(id("entry-1", 1), Logger::root(Discard, o!()));
+async fn gossip_arrives_in_order_with_the_id_of_its_sender() {
+    let (addr, handler) = start_server(id("entry-2", 2)).await;
+    let (handle, mut connected_peers) =
+        PeerHandle::new(id("entry-1", 1), Logger::root(Discard, o!()));
     handle.set_addrs([Contact {
         instance: "entry-2".into(),
         addr,
@@ -173,7 +177,7 @@
         instance: "entry-2".into(),
         addr,
     }]);
-    assert_eq!(linked.recv().await, Some(id("entry-2", 2)));
+    assert_eq!(connected_peers.recv().await, Some(id("entry-2", 2)));
     let sent = [Message::Declined(Declined::Absent), head()];
     for message in &sent {
         handle.send(&"entry-2".into(), message.clone());
@@ -185,66 +189,69 @@
     })
     .await
     .unwrap();
-    let got = handler.gossip.lock().unwrap().clone();
-    assert_eq!(got, sent.map(|message| (id("entry-1", 1), message)));
+    let received = handler.gossip.lock().unwrap().clone();
+    assert_eq!(received, sent.map(|message| (id("entry-1", 1), message)));
 }
 
 #[tokio::test]
 async fn hostile_bytes_close_their_connection_and_disturb_nothing() {
-    let (addr, _) = serve(id("entry-2", 2)).await;
+    let (addr, _) = start_server(id("entry-2", 2)).await;
     for seed in 0u8..16 {
         let mut socket = TcpStream::connect(addr).await.unwrap();
-        let noise: Vec<u8> = (0..4_096u32)
+        let malformed_bytes: Vec<u8> = (0..4_096u32)
             .map(|i| (i as u8).wrapping_mul(seed))
             .collect();
-        let _ = socket.write_all(&noise).await;
+        let _ = socket.write_all(&malformed_bytes).await;
     }
     let message = Message::Declined(Declined::NotMine);
-    assert_eq!(ask(&handle_to(addr), None, &message).await, Ok(message));
+    assert_eq!(
+        send_request(&connect_handle(addr), None, &message).await,
+        Ok(message)
+    );
 }
 
-/// Forwards connections, and swallows every byte of those that were open when it
-/// was told to, for good.
-async fn swallowing_proxy(to: SocketAddr) -> (SocketAddr, Arc<AtomicBool>, Arc<AtomicUsize>) {
+/// Starts a proxy that forwards connections. While the returned flag is set, it
+/// drops all bytes of the first connection and keeps that connection open.
+async fn start_dropping_proxy(to: SocketAddr) -> (SocketAddr, Arc<AtomicBool>, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
-    let (swallows, accepted) = (
+    let (drops_bytes, accepted_count) = (
         Arc::new(AtomicBool::new(false)),
         Arc::new(AtomicUsize::new(0)),
     );
-    let (flag, count) = (Arc::clone(&swallows), Arc::clone(&accepted));
+    let (flag, count) = (Arc::clone(&drops_bytes), Arc::clone(&accepted_count));
     tokio::spawn(async move {
         while let Ok((client, _)) = listener.accept().await {
-            let is_old = count.fetch_add(1, Ordering::SeqCst) == 0;
+            let is_first = count.fetch_add(1, Ordering::SeqCst) == 0;
             let server = TcpStream::connect(to).await.unwrap();
             let (from_client, to_client) = client.into_split();
             let (from_server, to_server) = server.into_split();
-            tokio::spawn(pump(
+            tokio::spawn(forward_bytes(
                 from_client,
                 to_server,
-                is_old.then(|| Arc::clone(&flag)),
+                is_first.then(|| Arc::clone(&flag)),
             ));
-            tokio::spawn(pump(
+            tokio::spawn(forward_bytes(
                 from_server,
                 to_client,
-                is_old.then(|| Arc::clone(&flag)),
+                is_first.then(|| Arc::clone(&flag)),
             ));
         }
     });
-    (addr, swallows, accepted)
+    (addr, drops_bytes, accepted_count)
 }
 
-async fn pump(
+async fn forward_bytes(
     mut from: tokio::net::tcp::OwnedReadHalf,
     mut to: tokio::net::tcp::OwnedWriteHalf,
-    swallows: Option<Arc<AtomicBool>>,
+    drops_bytes: Option<Arc<AtomicBool>>,
 ) {
     let mut buffer = [0; 4_096];
     while let Ok(count @ 1..) = from.read(&mut buffer).await {
-        let is_swallowed = swallows
+        let is_dropped = drops_bytes
             .as_ref()
             .is_some_and(|flag| flag.load(Ordering::SeqCst));
-        if !is_swallowed && to.write_all(&buffer[..count]).await.is_err() {
+        if !is_dropped && to.write_all(&buffer[..count]).await.is_err() {
             return;
         }
     }
@@ -253,12 +260,15 @@
 
 #[tokio::test]
 async fn a_connection_that_goes_quiet_is_replaced_within_three_seconds() {
-    let (addr, _) = serve(id("entry-2", 2)).await;
-    let (proxy, swallows, accepted) = swallowing_proxy(addr).await;
-    let handle = handle_to(proxy);
+    let (addr, _) = start_server(id("entry-2", 2)).await;
+    let (proxy, drops_bytes, accepted_count) = start_dropping_proxy(addr).await;
+    let handle = connect_handle(proxy);
     let message = Message::Declined(Declined::NotMine);
-    assert_eq!(ask(&handle, None, &message).await, Ok(message.clone()));
-    swallows.store(true, Ordering::SeqCst);
+    assert_eq!(
+        send_request(&handle, None, &message).await,
+        Ok(message.clone())
+    );
+    drops_bytes.store(true, Ordering::SeqCst);
     let start = Instant::now();
     let timeout = Duration::from_millis(200);
     while handle
@@ -268,8 +278,8 @@
     {
         assert!(
             start.elapsed() < Duration::from_secs(3),
-            "still uses the quiet connection"
+            "still uses the silent connection"
         );
     }
-    assert_eq!(accepted.load(Ordering::SeqCst), 2);
+    assert_eq!(accepted_count.load(Ordering::SeqCst), 2);
 }
--- a/crates/server/tests/metrics.rs
+++ b/crates/server/tests/metrics.rs
@@ -1,5 +1,5 @@
-//! Metrics in the Prometheus text form; one test, since a process has one
-//! recorder.
+//! Metrics in the Prometheus text format. There is only one test, because a process
+//! has one metrics recorder.
 
 mod common;
 
@@ -11,19 +11,19 @@
 use serde_json::json;
 use tokio::time;
 
-/// More workspaces than have metrics of their own.
+/// Number of workspaces, larger than the limit on labelled ones.
 const WORKSPACES: usize = 300;
 const MAX_LABELLED: usize = 256;
-const AT_ONCE: usize = 10;
+const CONCURRENT_REQUESTS: usize = 10;
 
-async fn metrics(deployment: &Deployment) -> String {
+async fn fetch_metrics(deployment: &Deployment) -> String {
     let addr = deployment.admin();
-    let reply = send(Version::Http1, addr, Method::GET, "/metrics", "", &[]).await;
-    assert_eq!(reply.status(), StatusCode::OK);
-    String::from_utf8(read_body(reply).await.to_vec()).unwrap()
+    let response = send(Version::Http1, addr, Method::GET, "/metrics", "", &[]).await;
+    assert_eq!(response.status(), StatusCode::OK);
+    String::from_utf8(read_body(response).await.to_vec()).unwrap()
 }
 
-async fn ask_as(caller: SocketAddr, name: String) {
+async fn request_as(caller: SocketAddr, name: String) {
     let bearer = format!("Bearer {}", credential(&name));
     let headers = [
         ("x-workspace", name.as_str()),
@@ -35,9 +35,9 @@
 }
 
 #[tokio::test]
-async fn requests_show_with_bounded_labels() {
+async fn request_metrics_have_bounded_labels() {
     let deployment = Deployment::start().await;
-    deployment.ask(&json!(1)).await;
+    deployment.request_quote(&json!(1)).await;
     let frozen = savoryvane_standins::BackendFaults {
         freeze: true,
         ..Default::default()
@@ -58,7 +58,7 @@
         .iter()
         .for_each(|x| x.set_faults(Default::default()));
 
-    let text = metrics(&deployment).await;
+    let metrics_text = fetch_metrics(&deployment).await;
     for line in [
         "savoryvane_requests_total{workspace=\"vakwerk\",pipeline=\"quote\",outcome=\"complete\"} 1",
         "savoryvane_requests_total{workspace=\"vakwerk\",pipeline=\"quote\",outcome=\"failed\"} 1",
@@ -66,7 +66,7 @@
         "savoryvane_request_seconds_count{workspace=\"vakwerk\",pipeline=\"quote\"} 2",
         "savoryvane_requests_in_flight 0",
     ] {
-        assert!(text.contains(line), "{line}\n{text}");
+        assert!(metrics_text.contains(line), "{line}\n{metrics_text}");
     }
     for name in [
         "stage_seconds_bucket",
@@ -77,18 +77,20 @@
             let series = format!(
                 "savoryvane_{name}{{workspace=\"vakwerk\",pipeline=\"quote\",stage=\"{stage}\""
             );
-            assert!(text.contains(&series), "{series}\n{text}");
+            assert!(metrics_text.contains(&series), "{series}\n{metrics_text}");
         }
     }
-    let queue = async {
-        while !metrics(&deployment)
+    let poll_queue_metric = async {
+        while !fetch_metrics(&deployment)
             .await
             .contains("savoryvane_pool_queue{pool=\"encode\"}")
         {
             time::sleep(Duration::from_millis(20)).await;
         }
     };
-    time::timeout(Duration::from_secs(10), queue).await.unwrap();
+    time::timeout(Duration::from_secs(10), poll_queue_metric)
+        .await
+        .unwrap();
 
     let workspace = |index| {
         let name = format!("workshop-{index}");
@@ -100,21 +102,25 @@
         .confirm(&json!({ "workspaces": workspaces }))
         .await;
     let caller = deployment.caller();
-    for start in (0..WORKSPACES).step_by(AT_ONCE) {
-        let asks: Vec<_> = (start..start + AT_ONCE)
-            .map(|index| tokio::spawn(ask_as(caller, format!("workshop-{index}"))))
+    for start in (0..WORKSPACES).step_by(CONCURRENT_REQUESTS) {
+        let requests: Vec<_> = (start..start + CONCURRENT_REQUESTS)
+            .map(|index| tokio::spawn(request_as(caller, format!("workshop-{index}"))))
             .collect();
-        for ask in asks {
-            ask.await.unwrap();
+        for request in requests {
+            request.await.unwrap();
         }
     }
 
-    let text = metrics(&deployment).await;
-    let labelled: HashSet<_> = text
+    let metrics_text = fetch_metrics(&deployment).await;
+    let workspace_labels: HashSet<_> = metrics_text
         .split("workspace=\"")
         .skip(1)
         .filter_map(|rest| rest.split('"').next())
         .collect();
-    assert!(labelled.contains("other"));
-    assert!(labelled.len() <= MAX_LABELLED + 1, "{}", labelled.len());
+    assert!(workspace_labels.contains("other"));
+    assert!(
+        workspace_labels.len() <= MAX_LABELLED + 1,
+        "{}",
+        workspace_labels.len()
+    );
 }
--- a/crates/server/tests/mixing.rs
+++ b/crates/server/tests/mixing.rs
@@ -227,7 +227,7 @@
     assert_eq!(answer.outcome, Outcome::Failed);
     assert_eq!(answer.output, None);
 
-    let (status, answer) = deployment.ask(&json!(2)).await;
+    let (status, answer) = deployment.request_quote(&json!(2)).await;
     assert_eq!(status, StatusCode::BAD_GATEWAY);
     assert_eq!(answer.outcome, Outcome::Failed);
     assert_eq!(answer.output, None);
--- a/crates/server/tests/pipeline.rs
+++ b/crates/server/tests/pipeline.rs
@@ -14,7 +14,7 @@
     let deployment = Deployment::start().await;
     let input = json!({ "text": "gilded sign of a bakery" });
 
-    let (status, answer) = deployment.ask(&input).await;
+    let (status, answer) = deployment.request_quote(&input).await;
 
     assert_eq!(status, StatusCode::OK);
     assert_eq!(answer.outcome, Outcome::Complete);
--- a/crates/server/tests/placement.rs
+++ b/crates/server/tests/placement.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use common::{Deployment, OPERATOR_CREDENTIAL, expected, operate, plan, wait_until};
+use common::{Deployment, OPERATOR_CREDENTIAL, expected, plan, send_as_operator, wait_until};
 use http::{Method, StatusCode};
 use savoryvane_core::{
     ids::ModelName,
@@ -83,7 +83,8 @@
 
 async fn placer(deployment: &Deployment, index: usize) -> PlacerView {
     let admin = deployment.instances[index].addresses().admin;
-    let (status, view) = operate(admin, Method::GET, "/admin/v1/placer", &json!(null)).await;
+    let (status, view) =
+        send_as_operator(admin, Method::GET, "/admin/v1/placer", &json!(null)).await;
     assert_eq!(status, StatusCode::OK, "{view} {OPERATOR_CREDENTIAL}");
     serde_json::from_value(view).unwrap()
 }
@@ -108,7 +109,7 @@
     let input = json!({ "text": "gilded letters" });
     let waiting = async {
         loop {
-            let (_, answer) = deployment.ask(&input).await;
+            let (_, answer) = deployment.request_quote(&input).await;
             if answer.outcome == Outcome::Complete {
                 assert_eq!(answer.output, Some(expected(&input)));
                 return;
--- a/crates/server/tests/placer_processes.rs
+++ b/crates/server/tests/placer_processes.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use common::{ZONE, confirm, intent, operate, settings_text};
+use common::{ZONE, confirm, intent, send_as_operator, settings_text};
 use http::{Method, StatusCode};
 use process::Entry;
 use savoryvane_core::objects::{Fencing, StageKind};
@@ -28,7 +28,8 @@
 const POLL: Duration = Duration::from_millis(50);
 
 async fn view(entry: &Entry) -> PlacerView {
-    let (status, view) = operate(entry.admin, Method::GET, "/admin/v1/placer", &Value::Null).await;
+    let (status, view) =
+        send_as_operator(entry.admin, Method::GET, "/admin/v1/placer", &Value::Null).await;
     assert_eq!(status, StatusCode::OK, "{view}");
     serde_json::from_value(view).unwrap()
 }
--- a/crates/server/tests/poison.rs
+++ b/crates/server/tests/poison.rs
@@ -91,7 +91,7 @@
     assert_eq!(answer.reason.as_deref(), Some("given up: ends_servers"));
     assert!(answer.retry_after_ms.unwrap_or(0) > 60_000, "{answer:?}");
     let other = json!({ "text": "another one" });
-    let (status, answer) = deployment.ask(&other).await;
+    let (status, answer) = deployment.request_quote(&other).await;
     assert_eq!(status, StatusCode::OK, "{answer:?}");
     assert_eq!(answer.output, Some(expected(&other)));
 }
--- a/crates/server/tests/shutdown.rs
+++ b/crates/server/tests/shutdown.rs
@@ -149,11 +149,13 @@
 async fn drain_asked_for_by_an_operator_ends_it_too() {
     let (_deployment, entry) = start("drain: {grace_ms: 0, timeout_ms: 1000}").await;
     let other = json!({ "instance": "entry-2" });
-    let (status, _) = common::operate(entry.admin, Method::POST, "/admin/v1/drain", &other).await;
+    let (status, _) =
+        common::send_as_operator(entry.admin, Method::POST, "/admin/v1/drain", &other).await;
     assert_eq!(status, StatusCode::CONFLICT);
 
     let own = json!({ "instance": "entry-1" });
-    let (status, _) = common::operate(entry.admin, Method::POST, "/admin/v1/drain", &own).await;
+    let (status, _) =
+        common::send_as_operator(entry.admin, Method::POST, "/admin/v1/drain", &own).await;
 
     assert_eq!(status, StatusCode::ACCEPTED);
     let (code, log) = ended(entry).await;
--- a/crates/server/tests/tickets.rs
+++ b/crates/server/tests/tickets.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use common::{Deployment, expected, read_answer, submit, take_ticket};
+use common::{Deployment, expected, read_answer, request_ticket, submit};
 use savoryvane_core::outcome::Outcome;
 use savoryvane_wire::caller::Answer;
 use serde_json::{Value, json};
@@ -32,7 +32,7 @@
     let deployment = Arc::new(deployment);
     for number in 0..TICKETS {
         let input = json!({ "ticket": number });
-        let ticket = take_ticket(deployment.caller()).await;
+        let ticket = request_ticket(deployment.caller()).await;
         let users: Vec<_> = (0..USERS)
             .map(|_| {
                 let (deployment, input) = (Arc::clone(&deployment), input.clone());
