--- a/crates/server/examples/measure_at_most_once.rs
+++ b/crates/server/examples/measure_at_most_once.rs
@@ -1,5 +1,5 @@
-//! Measures requests that may not be run twice: latency under a claim and under
-//! a ticket, appends a second, and what is served while the log is away.
+//! Measures non-idempotent requests: latency with a claim and with a ticket, appends
+//! per second, and the requests served during an outage of the log.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -28,18 +28,18 @@
 };
 use tokio::time;
 
-/// Entry instances of one of today's deployments.
+/// Number of entry instances, as in a typical deployment.
 const INSTANCES: usize = 8;
-/// Time that each exchange with the log takes, in ms.
-const LOG_MS: u64 = 5;
-/// Appends a second of all appenders, as the settings have it by default.
+/// Latency of each exchange with the log, in ms.
+const LOG_LATENCY_MS: u64 = 5;
+/// Total append rate of all appenders; the default of the settings.
 const APPENDS_PER_S: u64 = 200;
-const MINUTE_MS: u64 = 60_000;
-/// Time from a claim to the end of its run, in ms.
+const SIMULATED_MS: u64 = 60_000;
+/// Duration of a run, from its claim to its end, in ms.
 const RUN_MS: u64 = 600;
 const DEADLINE_MS: u64 = 4_000;
 const DURATION_MS: u64 = 8_000;
-/// Most tokens of the pipelines of the small deployment.
+/// Maximum number of tokens in the pipelines of the deployment.
 const MAX_TOKENS: u32 = 64;
 
 #[derive(Clone, Copy)]
@@ -48,7 +48,7 @@
     pipeline: &'static str,
     warrants: Warrants,
     rate_per_s: u32,
-    log: fn() -> LogFaults,
+    log_faults: fn() -> LogFaults,
 }
 
 const CASES: [Case; 7] = [
@@ -57,8 +57,14 @@
     case("ticket", "hold", Warrants::Tickets, 20, slow),
     case("key", "hold", Warrants::Keys, 200, slow),
     case("ticket", "hold", Warrants::Tickets, 200, slow),
-    case("key, log away", "hold", Warrants::Keys, 100, away),
-    case("ticket, log away", "hold", Warrants::Tickets, 100, away),
+    case("key, log away", "hold", Warrants::Keys, 100, unavailable),
+    case(
+        "ticket, log away",
+        "hold",
+        Warrants::Tickets,
+        100,
+        unavailable,
+    ),
 ];
 
 const fn case(
@@ -66,25 +72,25 @@
     pipeline: &'static str,
     warrants: Warrants,
     rate_per_s: u32,
-    log: fn() -> LogFaults,
+    log_faults: fn() -> LogFaults,
 ) -> Case {
     Case {
         name,
         pipeline,
         warrants,
         rate_per_s,
-        log,
+        log_faults,
     }
 }
 
 fn slow() -> LogFaults {
     LogFaults {
-        slow_ms: LOG_MS,
+        slow_ms: LOG_LATENCY_MS,
         ..LogFaults::default()
     }
 }
 
-fn away() -> LogFaults {
+fn unavailable() -> LogFaults {
     LogFaults {
         outage: true,
         ..LogFaults::default()
@@ -93,28 +99,32 @@
 
 #[tokio::main]
 async fn main() {
-    let deployment = deployment().await;
-    println!("{INSTANCES} instances, log {LOG_MS} ms an exchange, {DURATION_MS} ms a case");
+    let deployment = start_deployment().await;
+    println!("{INSTANCES} instances, log {LOG_LATENCY_MS} ms an exchange, {DURATION_MS} ms a case");
     println!("case | requests/s | right | refused | p50 ms | p99 ms | appends/s | entries/append");
     for case in CASES {
-        deployment.log.set_faults((case.log)());
+        deployment.log.set_faults((case.log_faults)());
         time::sleep(Duration::from_millis(1_000)).await;
-        let before = deployment.log.payloads(CLAIM_STREAM).len();
+        let payloads_before = deployment.log.payloads(CLAIM_STREAM).len();
         let report = load(&deployment, case).await;
         let payloads = deployment.log.payloads(CLAIM_STREAM);
-        print(case, &report, payloads.get(before..).unwrap_or_default());
+        print(
+            case,
+            &report,
+            payloads.get(payloads_before..).unwrap_or_default(),
+        );
     }
     println!(
         "batching alone, by the core: appenders | requests/s | wait p50 ms | p99 ms | appends/s | entries/append"
     );
     for (appenders, requests_per_s) in [(8, 200), (570, 700), (6, 700)] {
-        batch_alone(appenders, requests_per_s);
+        simulate_batching(appenders, requests_per_s);
     }
 }
 
-/// Lets the core's batchers append for a minute, each claim followed by the
-/// record of its end, and prints how long claims wait to be appended.
-fn batch_alone(appenders: u64, requests_per_s: u64) {
+/// Simulates one minute of the core's batchers, where each claim is followed by the
+/// record of its end, and prints the wait of claims until their append.
+fn simulate_batching(appenders: u64, requests_per_s: u64) {
     let mut rng = StdRng::seed_from_u64(1);
     let limits = BatchLimits {
         interval_ms: interval_ms(appenders, APPENDS_PER_S),
@@ -127,22 +137,22 @@
     let (mut appends, mut entries) = (0, 0);
     for _ in 0..appenders {
         let mut batcher = ClaimBatcher::new(limits);
-        let mut asked_ms = HashMap::new();
-        let mut ends: VecDeque<(u64, ClaimId)> = VecDeque::new();
-        for now_ms in 0..MINUTE_MS {
-            // Each of the appenders gets its share of the requests.
+        let mut pushed_at_ms = HashMap::new();
+        let mut run_ends: VecDeque<(u64, ClaimId)> = VecDeque::new();
+        for now_ms in 0..SIMULATED_MS {
+            // Each appender gets an equal share of the requests.
             if rng.random_range(0..1_000 * appenders) < requests_per_s {
                 let id = ClaimId {
                     incarnation: Incarnation(1),
                     seq: now_ms,
                 };
-                asked_ms.insert(id, now_ms);
-                ends.push_back((now_ms + RUN_MS, id));
+                pushed_at_ms.insert(id, now_ms);
+                run_ends.push_back((now_ms + RUN_MS, id));
                 batcher.push(entry(id, false));
             }
-            while ends.front().is_some_and(|(at_ms, _)| *at_ms <= now_ms) {
-                let ended = ends.pop_front();
-                ended
+            while run_ends.front().is_some_and(|(at_ms, _)| *at_ms <= now_ms) {
+                let ended_run = run_ends.pop_front();
+                ended_run
                     .into_iter()
                     .for_each(|(_, id)| batcher.push(entry(id, true)));
             }
@@ -152,7 +162,7 @@
             appends += 1;
             entries += batch.entries.len();
             for id in batch.entries.iter().map(Entry::id) {
-                waits_ms.extend(asked_ms.remove(&id).map(|asked| now_ms - asked));
+                waits_ms.extend(pushed_at_ms.remove(&id).map(|pushed| now_ms - pushed));
             }
             batcher.on_result(AppendResult::Appended, |_| true);
         }
@@ -186,7 +196,7 @@
     }
 }
 
-async fn deployment() -> Deployment {
+async fn start_deployment() -> Deployment {
     let mut deployment = Deployment::without_instances("").await;
     let list = ListSettings {
         lag_ms: 0,
@@ -211,7 +221,7 @@
     deployment
 }
 
-/// Sends the rate to all instances alike.
+/// Sends requests at the case's rate, spread evenly over all instances.
 async fn load(deployment: &Deployment, case: Case) -> Vec<Report> {
     let loads = deployment
         .instances
--- a/crates/server/examples/peer_bytes.rs
+++ b/crates/server/examples/peer_bytes.rs
@@ -1,5 +1,5 @@
-//! Counts the bytes that requests and gossip between two instances take on their
-//! TCP connection, frames of `h2` included; run by `scripts/capacity`.
+//! Counts the bytes on the TCP connection between two instances for requests and
+//! gossip, including HTTP/2 framing. Run by `scripts/capacity`.
 
 use std::{
     net::SocketAddr,
@@ -29,12 +29,12 @@
     time,
 };
 
-const SIZES: [u64; 4] = [50, 100, 200, 400];
+const MESSAGE_COUNTS: [u64; 4] = [50, 100, 200, 400];
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-struct Answers;
+struct GrantHandler;
 
-impl PeerHandler for Answers {
+impl PeerHandler for GrantHandler {
     fn on_gossip(&self, _from: &PeerId, _message: Message) {}
 
     fn on_request(&self, _from: PeerId, _message: Message, _wait: Duration) -> PeerAnswer {
@@ -75,17 +75,24 @@
     encode(message).map_or(0, |frame| frame.len() as u64)
 }
 
-async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, count: Arc<AtomicU64>) {
+async fn forward_and_count(
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    byte_count: Arc<AtomicU64>,
+) {
     let mut buffer = [0; 16_384];
     while let Ok(read @ 1..) = from.read(&mut buffer).await {
-        count.fetch_add(read as u64, Ordering::Relaxed);
+        byte_count.fetch_add(read as u64, Ordering::Relaxed);
         if to.write_all(&buffer[..read]).await.is_err() {
             return;
         }
     }
 }
 
-async fn counting_proxy(to: SocketAddr, count: Arc<AtomicU64>) -> std::io::Result<SocketAddr> {
+async fn start_counting_proxy(
+    to: SocketAddr,
+    byte_count: Arc<AtomicU64>,
+) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?;
     tokio::spawn(async move {
@@ -95,8 +102,16 @@
             };
             let (from_client, to_client) = client.into_split();
             let (from_server, to_server) = server.into_split();
-            tokio::spawn(pump(from_client, to_server, Arc::clone(&count)));
-            tokio::spawn(pump(from_server, to_client, Arc::clone(&count)));
+            tokio::spawn(forward_and_count(
+                from_client,
+                to_server,
+                Arc::clone(&byte_count),
+            ));
+            tokio::spawn(forward_and_count(
+                from_server,
+                to_client,
+                Arc::clone(&byte_count),
+            ));
         }
     });
     Ok(addr)
@@ -116,66 +131,68 @@
     let log = Logger::root(Discard, o!());
     let server = PeerServer {
         me: id("entry-002"),
-        handler: Arc::new(Answers),
+        handler: Arc::new(GrantHandler),
         log: log.clone(),
     };
     tokio::spawn(server.run(listener));
-    let count = Arc::new(AtomicU64::new(0));
-    let proxy = counting_proxy(addr, Arc::clone(&count)).await?;
-    let (peers, mut linked) = PeerHandle::new(id("entry-001"), log);
+    let byte_count = Arc::new(AtomicU64::new(0));
+    let proxy = start_counting_proxy(addr, Arc::clone(&byte_count)).await?;
+    let (peers, mut connected_peers) = PeerHandle::new(id("entry-001"), log);
     let contact = Contact {
         instance: "entry-002".into(),
         addr: proxy,
     };
     peers.set_addrs([contact.clone()]);
     peers.keep(&[contact]);
-    linked.recv().await;
+    connected_peers.recv().await;
 
     println!("\nBytes on the connection of two instances\n");
     println!("| measure | number | bytes | of them frames | for each |");
     println!("|---|---|---|---|---|");
-    for size in SIZES {
-        let before = count.load(Ordering::Relaxed);
-        for _ in 0..size {
+    for message_count in MESSAGE_COUNTS {
+        let bytes_before = byte_count.load(Ordering::Relaxed);
+        for _ in 0..message_count {
             let to = "entry-002".into();
             let _ = peers.request(&to, None, &report(), TIMEOUT).await;
         }
         time::sleep(Duration::from_millis(50)).await;
-        let frames = size * (frame_bytes(&report()) + frame_bytes(&grant()));
+        let frame_total_bytes = message_count * (frame_bytes(&report()) + frame_bytes(&grant()));
         print(
             "requests and answers",
-            size,
-            count.load(Ordering::Relaxed) - before,
-            frames,
+            message_count,
+            byte_count.load(Ordering::Relaxed) - bytes_before,
+            frame_total_bytes,
         );
     }
-    for size in SIZES {
-        let before = count.load(Ordering::Relaxed);
-        for _ in 0..size {
+    for message_count in MESSAGE_COUNTS {
+        let bytes_before = byte_count.load(Ordering::Relaxed);
+        for _ in 0..message_count {
             peers.send(&"entry-002".into(), notice());
             time::sleep(Duration::from_millis(2)).await;
         }
         time::sleep(Duration::from_millis(50)).await;
-        let frames = size * frame_bytes(&notice());
+        let frame_total_bytes = message_count * frame_bytes(&notice());
         print(
             "gossip messages",
-            size,
-            count.load(Ordering::Relaxed) - before,
-            frames,
+            message_count,
+            byte_count.load(Ordering::Relaxed) - bytes_before,
+            frame_total_bytes,
         );
     }
-    let before = count.load(Ordering::Relaxed);
+    let bytes_before = byte_count.load(Ordering::Relaxed);
     time::sleep(Duration::from_secs(10)).await;
     print(
         "idle seconds",
         10,
-        count.load(Ordering::Relaxed) - before,
+        byte_count.load(Ordering::Relaxed) - bytes_before,
         0,
     );
     Ok(())
 }
 
-fn print(measure: &str, number: u64, bytes: u64, frames: u64) {
-    let each = bytes.saturating_sub(frames) as f64 / number as f64;
-    println!("| {measure} | {number} | {bytes} | {frames} | {each:.1} above frames |");
+fn print(measure: &str, number: u64, bytes: u64, frame_total_bytes: u64) {
+    let overhead_bytes = bytes.saturating_sub(frame_total_bytes) as f64 / number as f64;
+    println!(
+        "| {measure} | {number} | {bytes} | {frame_total_bytes} | {overhead_bytes:.1} above frames |"
+    );
 }
--- a/crates/server/tests/pipeline.rs
+++ b/crates/server/tests/pipeline.rs
@@ -1,4 +1,4 @@
-//! Requests through a whole pipeline, plain and streamed.
+//! Plain and streamed requests through a complete pipeline.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use serde_json::json;
 
 #[tokio::test]
-async fn plain_answer_is_whole_with_time_and_cost_by_stage() {
+async fn plain_answer_has_output_and_usage_per_stage() {
     let deployment = Deployment::start().await;
     let input = json!({ "text": "gilded sign of a bakery" });
 
@@ -25,17 +25,17 @@
 }
 
 #[tokio::test]
-async fn streamed_tokens_make_up_the_final_answer() {
+async fn streamed_tokens_concatenate_to_the_final_answer() {
     let deployment = Deployment::start().await;
     let input = json!({ "text": "rehearsal room on friday" });
 
     for version in [Version::Http1, Version::Http2] {
         let accept = [("accept", "application/x-ndjson")];
-        let reply = submit_over(version, deployment.caller(), "quote", &input, &accept).await;
-        assert_eq!(reply.status(), StatusCode::OK);
-        let body = read_body(reply).await;
+        let response = submit_over(version, deployment.caller(), "quote", &input, &accept).await;
+        assert_eq!(response.status(), StatusCode::OK);
+        let body = read_body(response).await;
         let mut text = String::new();
-        let mut last = None;
+        let mut final_answer = None;
         for (expected_index, line) in body.split(|byte| *byte == b'\n').enumerate() {
             if line.is_empty() {
                 continue;
@@ -45,10 +45,10 @@
                     assert_eq!(index as usize, expected_index);
                     text.push_str(&token);
                 }
-                AnswerEvent::Final(answer) => last = Some(answer),
+                AnswerEvent::Final(answer) => final_answer = Some(answer),
             }
         }
-        let answer = last.expect("a final event");
+        let answer = final_answer.expect("a final event");
         assert_eq!(answer.outcome, Outcome::Complete);
         assert_eq!(answer.output, Some(json!(text)));
         assert_eq!(answer.output, Some(expected(&input)));
@@ -56,23 +56,23 @@
 }
 
 #[tokio::test]
-async fn many_requests_at_once_each_get_their_own_answer() {
+async fn concurrent_requests_each_get_their_own_answer() {
     let deployment = Deployment::start().await;
     let addr = deployment.caller();
-    let asks = (0..64).map(|number| {
+    let requests = (0..64).map(|number| {
         tokio::spawn(async move {
             let input = json!({ "number": number });
             let (_, answer) = read_answer(submit(addr, "quote", &input, &[]).await).await;
             assert_eq!(answer.output, Some(expected(&input)), "{answer:?}");
         })
     });
-    for ask in asks.collect::<Vec<_>>() {
-        ask.await.unwrap();
+    for request in requests.collect::<Vec<_>>() {
+        request.await.unwrap();
     }
 }
 
 #[tokio::test]
-async fn an_instance_that_starts_later_has_the_configuration() {
+async fn an_instance_started_later_gets_the_configuration() {
     let mut deployment = Deployment::start().await;
     deployment.add_instance("entry-2").await;
     deployment.wait_ready().await;
--- a/crates/server/tests/placement.rs
+++ b/crates/server/tests/placement.rs
@@ -1,5 +1,5 @@
-//! Placement with real instances and stand-in engines: models are loaded, a
-//! replaced placer's orders are refused or put right, and plans show moves.
+//! Model placement with running instances and stand-in engines: models are loaded,
+//! orders of a replaced placer are refused or corrected, and plans list the moves.
 
 mod common;
 
@@ -20,12 +20,12 @@
 use serde_json::json;
 use tokio::time;
 
-/// Silence after which a placer is replaced: 1.7 s.
+/// With these settings a placer is replaced after 1.7 s of silence.
 const SETTINGS: &str = "placement: {renewal_ms: 500, order_timeout_ms: 200}";
-const WAIT: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A deployment whose engines hold nothing at the start.
-async fn deployment(fencing: Fencing) -> Deployment {
+/// Starts a deployment whose engines have no model loaded.
+async fn start_deployment(fencing: Fencing) -> Deployment {
     let mut deployment = Deployment::without_instances(SETTINGS).await;
     deployment.backends.truncate(6);
     for index in 0..2 {
@@ -48,7 +48,7 @@
     deployment
 }
 
-async fn engine_models(engine: &BackendServer) -> Vec<ModelName> {
+async fn loaded_models(engine: &BackendServer) -> Vec<ModelName> {
     let (status, body) = client::exchange(engine.addr(), Method::GET, "/v1/load", "")
         .await
         .unwrap();
@@ -56,21 +56,21 @@
     serde_json::from_slice::<LoadReport>(&body).unwrap().models
 }
 
-async fn holders(deployment: &Deployment) -> usize {
+async fn count_engines_with_chat(deployment: &Deployment) -> usize {
     let mut count = 0;
     for engine in &deployment.backends[6..] {
-        count += usize::from(engine_models(engine).await.contains(&"chat".into()));
+        count += usize::from(loaded_models(engine).await.contains(&"chat".into()));
     }
     count
 }
 
 async fn wait_for_chat(deployment: &Deployment) {
-    let waiting = async {
-        while holders(deployment).await == 0 {
+    let poll = async {
+        while count_engines_with_chat(deployment).await == 0 {
             time::sleep(Duration::from_millis(50)).await;
         }
     };
-    time::timeout(WAIT, waiting).await.expect("chat is loaded");
+    time::timeout(TIMEOUT, poll).await.expect("chat is loaded");
 }
 
 async fn order(engine: &BackendServer, order: &Order) -> (StatusCode, OrderReply) {
@@ -81,7 +81,7 @@
     (status, serde_json::from_slice(&body).unwrap())
 }
 
-async fn placer(deployment: &Deployment, index: usize) -> PlacerView {
+async fn placer_view(deployment: &Deployment, index: usize) -> PlacerView {
     let admin = deployment.instances[index].addresses().admin;
     let (status, view) =
         send_as_operator(admin, Method::GET, "/admin/v1/placer", &json!(null)).await;
@@ -89,12 +89,12 @@
     serde_json::from_value(view).unwrap()
 }
 
-/// Waits until an instance gives orders and returns its index and term.
+/// Waits until an instance acts as the placer. Returns its index and term.
 async fn wait_for_placer(deployment: &Deployment) -> (usize, u64) {
-    let waiting = async {
+    let poll = async {
         loop {
             for index in 0..deployment.instances.len() {
-                let view = placer(deployment, index).await;
+                let view = placer_view(deployment, index).await;
                 if let (true, Some(term)) = (view.gives_orders, view.term) {
                     return (index, term.0);
                 }
@@ -102,12 +102,12 @@
             time::sleep(Duration::from_millis(50)).await;
         }
     };
-    time::timeout(WAIT, waiting).await.expect("a placer")
+    time::timeout(TIMEOUT, poll).await.expect("a placer")
 }
 
-async fn answers(deployment: &Deployment) {
+async fn wait_for_answer(deployment: &Deployment) {
     let input = json!({ "text": "gilded letters" });
-    let waiting = async {
+    let poll = async {
         loop {
             let (_, answer) = deployment.request_quote(&input).await;
             if answer.outcome == Outcome::Complete {
@@ -117,20 +117,21 @@
             time::sleep(Duration::from_millis(100)).await;
         }
     };
-    time::timeout(WAIT, waiting).await.expect("an answer");
+    time::timeout(TIMEOUT, poll).await.expect("an answer");
 }
 
-/// Lets the placer leave, then repeats an order under its number.
-async fn replaced(fencing: Fencing) -> (Deployment, Vec<(StatusCode, OrderReply)>) {
-    let mut deployment = deployment(fencing).await;
+/// Shuts the placer down, then sends an order with the old placer's fencing number
+/// to each engine that has the model.
+async fn replace_placer(fencing: Fencing) -> (Deployment, Vec<(StatusCode, OrderReply)>) {
+    let mut deployment = start_deployment(fencing).await;
     wait_for_chat(&deployment).await;
-    answers(&deployment).await;
-    let (old, old_term) = wait_for_placer(&deployment).await;
-    let leaver = deployment.instances.remove(old);
-    let leaving = tokio::spawn(leaver.leave());
+    wait_for_answer(&deployment).await;
+    let (old_index, old_term) = wait_for_placer(&deployment).await;
+    let old_placer = deployment.instances.remove(old_index);
+    let leaving = tokio::spawn(old_placer.leave());
     let (_, new_term) = wait_for_placer(&deployment).await;
     assert!(new_term > old_term);
-    // The new placer tells engines that check its number within a round or two.
+    // Engines that check fencing numbers learn the new one in one or two rounds.
     time::sleep(Duration::from_secs(3)).await;
     let unload = Order {
         fence: old_term,
@@ -140,7 +141,7 @@
     };
     let mut replies = Vec::new();
     for engine in &deployment.backends[6..] {
-        if engine_models(engine).await.contains(&"chat".into()) {
+        if loaded_models(engine).await.contains(&"chat".into()) {
             replies.push(order(engine, &unload).await);
         }
     }
@@ -151,27 +152,27 @@
 
 #[tokio::test]
 async fn checking_engines_get_models_and_refuse_a_replaced_placer() {
-    let (deployment, replies) = replaced(Fencing::Checked).await;
+    let (deployment, replies) = replace_placer(Fencing::Checked).await;
     for (status, reply) in replies {
         assert_eq!(status, StatusCode::CONFLICT, "{reply:?}");
     }
-    answers(&deployment).await;
+    wait_for_answer(&deployment).await;
 }
 
 #[tokio::test]
 async fn ignoring_engines_get_models_and_are_put_right_after_a_replaced_placer() {
-    let (deployment, replies) = replaced(Fencing::Ignored).await;
+    let (deployment, replies) = replace_placer(Fencing::Ignored).await;
     for (status, reply) in replies {
         assert_eq!(status, StatusCode::OK, "{reply:?}");
         assert_eq!(reply.models, []);
     }
     wait_for_chat(&deployment).await;
-    answers(&deployment).await;
+    wait_for_answer(&deployment).await;
 }
 
 #[tokio::test]
-async fn a_plan_names_the_engines_of_its_moves() {
-    let deployment = deployment(Fencing::Checked).await;
+async fn a_plan_lists_the_engines_of_its_moves() {
+    let deployment = start_deployment(Fencing::Checked).await;
     wait_for_chat(&deployment).await;
     let mut intent = deployment.intent();
     intent["models"][0]["min_replicas"] = json!(2);
--- a/crates/server/tests/placer_processes.rs
+++ b/crates/server/tests/placer_processes.rs
@@ -1,4 +1,4 @@
-//! The placer as a real process that is frozen, replaced and thawed.
+//! Replacement of a placer process that is frozen and later resumed.
 
 mod common;
 #[path = "common/process.rs"]
@@ -22,46 +22,48 @@
 use serde_json::{Value, json};
 use tokio::time;
 
-/// Orders for 1 s after a renewal; replaced after 1.7 s of silence.
+/// With these settings a placer may give orders for 1 s after a renewal, and is
+/// replaced after 1.7 s of silence.
 const SETTINGS: &str = "placement: {renewal_ms: 500, order_timeout_ms: 200}";
-const WAIT: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(50);
+const TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-async fn view(entry: &Entry) -> PlacerView {
+async fn placer_view(entry: &Entry) -> PlacerView {
     let (status, view) =
         send_as_operator(entry.admin, Method::GET, "/admin/v1/placer", &Value::Null).await;
     assert_eq!(status, StatusCode::OK, "{view}");
     serde_json::from_value(view).unwrap()
 }
 
-/// Waits until one of the entries named gives orders.
-async fn placer(entries: &[Entry], among: &[usize]) -> (usize, u64) {
-    let waiting = async {
+/// Waits until one of the entries in `among` acts as the placer. Returns its index
+/// and term.
+async fn wait_for_placer(entries: &[Entry], among: &[usize]) -> (usize, u64) {
+    let poll = async {
         loop {
-            for at in among {
-                let view = view(&entries[*at]).await;
+            for index in among {
+                let view = placer_view(&entries[*index]).await;
                 if let (true, Some(term)) = (view.gives_orders, view.term) {
-                    return (*at, term.0);
+                    return (*index, term.0);
                 }
             }
-            time::sleep(POLL).await;
+            time::sleep(POLL_INTERVAL).await;
         }
     };
-    time::timeout(WAIT, waiting).await.expect("a placer")
+    time::timeout(TIMEOUT, poll).await.expect("a placer")
 }
 
 async fn wait_for_chat(engine: &BackendServer) {
-    let waiting = async {
+    let poll = async {
         loop {
             let load = client::exchange(engine.addr(), Method::GET, "/v1/load", "").await;
             let report: LoadReport = serde_json::from_slice(&load.unwrap().1).unwrap();
             if report.models.contains(&"chat".into()) {
                 return;
             }
-            time::sleep(POLL).await;
+            time::sleep(POLL_INTERVAL).await;
         }
     };
-    time::timeout(WAIT, waiting).await.expect("chat is loaded");
+    time::timeout(TIMEOUT, poll).await.expect("chat is loaded");
 }
 
 async fn start_entry(name: &str, log: &LogServer, list: &ListServer) -> Entry {
@@ -93,19 +95,19 @@
     confirm(entries[0].admin, &intent(&[backend])).await;
     wait_for_chat(&engine).await;
 
-    let (old, old_term) = placer(&entries, &[0, 1, 2]).await;
+    let (old, old_term) = wait_for_placer(&entries, &[0, 1, 2]).await;
     entries[old].freeze();
-    let others: Vec<_> = (0..3).filter(|at| *at != old).collect();
-    let (new, new_term) = placer(&entries, &others).await;
+    let others: Vec<_> = (0..3).filter(|index| *index != old).collect();
+    let (new, new_term) = wait_for_placer(&entries, &others).await;
     assert!(new_term > old_term);
     entries[old].thaw();
 
     for _ in 0..40 {
-        let woken = view(&entries[old]).await;
-        assert!(!woken.gives_orders, "{woken:?}");
-        time::sleep(POLL).await;
+        let resumed_view = placer_view(&entries[old]).await;
+        assert!(!resumed_view.gives_orders, "{resumed_view:?}");
+        time::sleep(POLL_INTERVAL).await;
     }
-    let (still, term) = placer(&entries, &[0, 1, 2]).await;
-    assert_eq!((still, term), (new, new_term));
+    let (placer_index, term) = wait_for_placer(&entries, &[0, 1, 2]).await;
+    assert_eq!((placer_index, term), (new, new_term));
     wait_for_chat(&engine).await;
 }
--- a/crates/server/tests/poison.rs
+++ b/crates/server/tests/poison.rs
@@ -1,4 +1,4 @@
-//! Requests that end each backend server of a stage that runs them, in pipelines.
+//! Quarantine of pipeline requests that crash the backend servers they run on.
 
 mod common;
 
@@ -12,21 +12,22 @@
 use serde_json::{Value, json};
 use tokio::time;
 
-/// Text that ends the servers of the first stage.
+/// Input text that crashes servers of the first stage.
 const MARKER: &str = "ends-its-server";
-/// Servers of that stage.
+/// Number of servers of the first stage.
 const SERVERS: usize = 10;
-/// Servers that may end under one request.
-const MOST_ENDS: usize = 3;
-/// Attempts of the caller who comes again.
+/// Maximum number of servers that one request may crash.
+const MAX_CRASHES: usize = 3;
+/// Number of attempts of a caller that repeats the request.
 const ATTEMPTS: usize = 8;
-/// Time between them.
-const PAUSE: Duration = Duration::from_millis(200);
-/// Time for instances that are ready to read the list and to open links to each other.
-const LINKED_AFTER: Duration = Duration::from_millis(2_500);
+/// Interval between the attempts.
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(200);
+/// Time for ready instances to read the list and to connect to each other.
+const CONNECT_TIME: Duration = Duration::from_millis(2_500);
 
-/// Two instances before ten servers of the first stage, which end under some calls.
-async fn deployment() -> (Deployment, Vec<BackendServer>) {
+/// Starts two instances with ten servers of the first stage, which crash on calls that
+/// contain [`MARKER`].
+async fn start_deployment() -> (Deployment, Vec<BackendServer>) {
     let mut deployment = Deployment::without_instances("").await;
     let mut fragile = Vec::new();
     for index in 0..SERVERS {
@@ -53,40 +54,47 @@
             "zone": ZONE, "addr": server.addr(), "slots": 8 }),
         );
     }
-    start_two(&mut deployment).await;
+    start_two_instances(&mut deployment).await;
     deployment.confirm(&intent(&backends)).await;
     deployment.wait_ready().await;
-    time::sleep(LINKED_AFTER).await;
+    time::sleep(CONNECT_TIME).await;
     (deployment, fragile)
 }
 
-async fn start_two(deployment: &mut Deployment) {
+async fn start_two_instances(deployment: &mut Deployment) {
     for name in ["entry-1", "entry-2"] {
         deployment.add_instance(name).await;
     }
 }
 
-/// Sends the request that ends servers to one of the instances.
-async fn ask(deployment: &Deployment, at: usize) -> (StatusCode, Answer) {
-    let addr = deployment.instances[at].addresses().caller;
+/// Sends the crashing request to one of the instances.
+async fn send_crashing_request(
+    deployment: &Deployment,
+    instance_index: usize,
+) -> (StatusCode, Answer) {
+    let addr = deployment.instances[instance_index].addresses().caller;
     let input = json!({ "text": MARKER });
     read_answer(submit(addr, "quote", &input, &[]).await).await
 }
 
-fn ended(servers: &[BackendServer]) -> usize {
+fn count_crashed(servers: &[BackendServer]) -> usize {
     servers.iter().filter(|server| server.has_ended()).count()
 }
 
 #[tokio::test]
 async fn a_pipeline_request_that_comes_again_ends_three_servers_and_no_more() {
-    let (deployment, fragile) = deployment().await;
-    let mut last = None;
+    let (deployment, fragile) = start_deployment().await;
+    let mut last_response = None;
     for attempt in 0..ATTEMPTS {
-        last = Some(ask(&deployment, attempt % 2).await);
-        time::sleep(PAUSE).await;
+        last_response = Some(send_crashing_request(&deployment, attempt % 2).await);
+        time::sleep(ATTEMPT_INTERVAL).await;
     }
-    assert!(ended(&fragile) <= MOST_ENDS, "{} ended", ended(&fragile));
-    let (status, answer) = last.expect("an answer");
+    assert!(
+        count_crashed(&fragile) <= MAX_CRASHES,
+        "{} ended",
+        count_crashed(&fragile)
+    );
+    let (status, answer) = last_response.expect("an answer");
     assert_eq!(answer.outcome, Outcome::NotStarted, "{status} {answer:?}");
     assert_eq!(answer.reason.as_deref(), Some("given up: ends_servers"));
     assert!(answer.retry_after_ms.unwrap_or(0) > 60_000, "{answer:?}");
@@ -96,41 +104,41 @@
     assert_eq!(answer.output, Some(expected(&other)));
 }
 
-/// Ends three servers, loses all instances together, sets `faults` of the log, and asks two
-/// new ones some time after they are ready.
-async fn ask_after_a_loss_of_all(faults: LogFaults, after: Duration) {
-    let (mut deployment, fragile) = deployment().await;
+/// Crashes three servers, stops all instances at once, sets `faults` on the log, starts two
+/// new instances, and checks after `delay` that both refuse the request.
+async fn check_quarantine_after_full_outage(faults: LogFaults, delay: Duration) {
+    let (mut deployment, fragile) = start_deployment().await;
     for attempt in 0..4 {
-        ask(&deployment, attempt % 2).await;
-        time::sleep(PAUSE).await;
+        send_crashing_request(&deployment, attempt % 2).await;
+        time::sleep(ATTEMPT_INTERVAL).await;
     }
-    assert_eq!(ended(&fragile), MOST_ENDS);
+    assert_eq!(count_crashed(&fragile), MAX_CRASHES);
     time::sleep(Duration::from_millis(1_500)).await;
     deployment.instances.clear();
     deployment.log.set_faults(faults);
-    start_two(&mut deployment).await;
+    start_two_instances(&mut deployment).await;
     deployment.wait_ready().await;
-    time::sleep(after).await;
-    for at in 0..2 {
-        let (status, answer) = ask(&deployment, at).await;
+    time::sleep(delay).await;
+    for instance_index in 0..2 {
+        let (status, answer) = send_crashing_request(&deployment, instance_index).await;
         assert_eq!(answer.outcome, Outcome::NotStarted, "{status} {answer:?}");
         assert_eq!(answer.reason.as_deref(), Some("given up: ends_servers"));
     }
-    assert_eq!(ended(&fragile), MOST_ENDS);
+    assert_eq!(count_crashed(&fragile), MAX_CRASHES);
 }
 
-/// All instances lose power together: what they knew is in the log.
+/// All instances stop at once, so the quarantine is only in the log.
 #[tokio::test]
 async fn a_quarantine_in_pipelines_outlasts_all_instances() {
-    ask_after_a_loss_of_all(LogFaults::default(), LINKED_AFTER).await;
+    check_quarantine_after_full_outage(LogFaults::default(), CONNECT_TIME).await;
 }
 
-/// The log has the record, and delivers it four seconds after its append.
+/// The log delivers the quarantine record four seconds after its append.
 #[tokio::test]
 async fn a_quarantine_that_the_log_delivers_late_is_waited_for() {
     let faults = LogFaults {
         delivery_delay_ms: 4_000,
         ..LogFaults::default()
     };
-    ask_after_a_loss_of_all(faults, 2 * LINKED_AFTER).await;
+    check_quarantine_after_full_outage(faults, 2 * CONNECT_TIME).await;
 }
--- a/crates/server/tests/rolling.rs
+++ b/crates/server/tests/rolling.rs
@@ -1,5 +1,5 @@
-//! Entry instances are stopped one after another behind a balancer, under
-//! callers that keep their connections.
+//! Rolling restart: entry instances behind a load balancer stop in sequence while
+//! callers with persistent connections keep sending requests.
 
 mod common;
 #[path = "common/process.rs"]
@@ -30,39 +30,39 @@
 use tokio::time;
 
 const ENTRIES: usize = 3;
-const CHECK_MS: u64 = 100;
+const CHECK_INTERVAL_MS: u64 = 100;
 
-/// Sends requests one after another over a connection that is kept for as long
-/// as the instance allows. A request that the connection gave back unsent, as
-/// HTTP has it, is sent over another one under another id. Returns how many were
-/// answered and the ids that were given back.
-async fn keep_asking(
+/// Sends requests in sequence over one connection for as long as the instance keeps it
+/// open. A request that HTTP reports as unprocessed is sent again on a new connection
+/// under a new id. Returns the number of answered requests and the ids of the
+/// unprocessed ones.
+async fn send_until_done(
     addr: SocketAddr,
     version: Version,
-    asker: usize,
-    is_over: Arc<AtomicBool>,
+    client_index: usize,
+    is_done: Arc<AtomicBool>,
 ) -> (u32, Vec<RequestId>) {
     let mut connection = Connection::open(addr, version).await.unwrap();
-    let mut given_back = Vec::new();
+    let mut unprocessed = Vec::new();
     let mut number = 0;
-    while !is_over.load(Ordering::Relaxed) {
-        let input = json!({ "asker": asker, "number": number });
-        let id = RequestId::new(format!("{asker}-{number}-{}", given_back.len()));
-        let reply = match connection.send(request(addr, &id, &input)).await {
-            Ok(reply) => reply,
-            Err(err) if is_given_back(&err) => {
-                given_back.push(id);
+    while !is_done.load(Ordering::Relaxed) {
+        let input = json!({ "asker": client_index, "number": number });
+        let id = RequestId::new(format!("{client_index}-{number}-{}", unprocessed.len()));
+        let response = match connection.send(request(addr, &id, &input)).await {
+            Ok(response) => response,
+            Err(err) if is_unprocessed(&err) => {
+                unprocessed.push(id);
                 connection = Connection::open(addr, version).await.unwrap();
                 continue;
             }
             Err(err) => panic!("{version:?}: {err:?}"),
         };
-        let (status, answer) = read_answer(reply).await;
+        let (status, answer) = read_answer(response).await;
         assert_eq!(status, StatusCode::OK, "{answer:?}");
         assert_eq!(answer.output, Some(expected(&input)));
         number += 1;
     }
-    (number, given_back)
+    (number, unprocessed)
 }
 
 fn request(addr: SocketAddr, id: &RequestId, input: &Value) -> Request<Full<Bytes>> {
@@ -77,9 +77,9 @@
     request
 }
 
-/// Tells whether no byte of the request left the caller (HTTP/1.1), or the
-/// instance said that it will not look at it (HTTP/2).
-fn is_given_back(err: &Error) -> bool {
+/// Returns whether the request was not processed: no byte of it was sent (HTTP/1.1), or
+/// the instance rejected it by GOAWAY or REFUSED_STREAM (HTTP/2).
+fn is_unprocessed(err: &Error) -> bool {
     let Error::Http(err) = err else { return false };
     let source = std::error::Error::source(err).and_then(|x| x.downcast_ref::<h2::Error>());
     let is_refused = |err: &h2::Error| {
@@ -102,16 +102,17 @@
     let balancer = Balancer::start(BalancerSettings {
         addr: SocketAddr::from(([127, 0, 0, 1], 0)),
         targets: entries.iter().map(|entry| entry.caller).collect(),
-        check_ms: CHECK_MS,
+        check_ms: CHECK_INTERVAL_MS,
     })
     .await
     .unwrap();
-    let is_over = Arc::new(AtomicBool::new(false));
-    let askers: Vec<_> = (0..6)
-        .map(|asker| {
-            let version = [Version::Http1, Version::Http2][asker % 2];
-            let asking = keep_asking(balancer.addr(), version, asker, Arc::clone(&is_over));
-            tokio::spawn(asking)
+    let is_done = Arc::new(AtomicBool::new(false));
+    let clients: Vec<_> = (0..6)
+        .map(|client_index| {
+            let version = [Version::Http1, Version::Http2][client_index % 2];
+            let sending =
+                send_until_done(balancer.addr(), version, client_index, Arc::clone(&is_done));
+            tokio::spawn(sending)
         })
         .collect();
     time::sleep(Duration::from_millis(300)).await;
@@ -123,16 +124,16 @@
     }
 
     time::sleep(Duration::from_millis(300)).await;
-    is_over.store(true, Ordering::Relaxed);
-    let ran: HashSet<_> = deployment
+    is_done.store(true, Ordering::Relaxed);
+    let processed: HashSet<_> = deployment
         .backends
         .iter()
         .flat_map(|backend| backend.ran())
         .map(|call| call.id.request)
         .collect();
-    for asker in askers {
-        let (answered, given_back) = asker.await.unwrap();
+    for client in clients {
+        let (answered, unprocessed) = client.await.unwrap();
         assert!(answered > 0);
-        assert!(given_back.iter().all(|id| !ran.contains(id)));
+        assert!(unprocessed.iter().all(|id| !processed.contains(id)));
     }
 }
--- a/crates/server/tests/shares.rs
+++ b/crates/server/tests/shares.rs
@@ -1,5 +1,5 @@
-//! What the policy keeps for each workspace and each prompt is in force in a
-//! running instance, not only in the core.
+//! Workspace shares and prefix-aware routing take effect in a running instance, not
+//! only in the core.
 
 mod common;
 
@@ -11,13 +11,13 @@
 use savoryvane_wire::caller::Answer;
 use serde_json::{Value, json};
 
-/// Requests that the flood sends at once; the engines have 16 slots.
-const FLOOD: usize = 400;
-/// Floods after which one request at least was refused for the share.
-const MAX_WAVES: usize = 20;
+/// Number of concurrent requests per flood; the engines have 16 slots in total.
+const FLOOD_REQUESTS: usize = 400;
+/// Maximum number of floods until a request is refused because of the share.
+const MAX_FLOODS: usize = 20;
 
-/// Sends one request of `workspace` through pipeline `quote`.
-async fn ask_as(addr: SocketAddr, workspace: &'static str, input: Value) -> Answer {
+/// Sends one request of `workspace` to pipeline `quote`.
+async fn request_as(addr: SocketAddr, workspace: &'static str, input: Value) -> Answer {
     let authorization = format!("Bearer {}", credential(workspace));
     let headers = [
         ("x-workspace", workspace),
@@ -40,10 +40,11 @@
     intent["workspaces"][1]["pipelines"] = json!(["quote"]);
     deployment.confirm(&intent).await;
     let addr = deployment.caller();
-    // Every engine has served both, so that the instance knows how long calls take.
+    // Warm-up calls give the instance service-time estimates for both workspaces on
+    // every engine.
     for number in 0..8 {
         for workspace in ["vakwerk", "taalghar"] {
-            let answer = ask_as(addr, workspace, json!({ "warm": number })).await;
+            let answer = request_as(addr, workspace, json!({ "warm": number })).await;
             assert_eq!(answer.outcome, Outcome::Complete, "{answer:?}");
         }
     }
@@ -55,11 +56,11 @@
     }
 
     let mut is_refused_for_share = false;
-    for _ in 0..MAX_WAVES {
-        let flood: Vec<_> = (0..FLOOD)
-            .map(|number| tokio::spawn(ask_as(addr, "vakwerk", json!({ "flood": number }))))
+    for _ in 0..MAX_FLOODS {
+        let flood: Vec<_> = (0..FLOOD_REQUESTS)
+            .map(|number| tokio::spawn(request_as(addr, "vakwerk", json!({ "flood": number }))))
             .collect();
-        let other = ask_as(addr, "taalghar", json!("in between")).await;
+        let other = request_as(addr, "taalghar", json!("in between")).await;
         assert!(!is_over_share(&other), "{other:?}");
         for answer in flood {
             is_refused_for_share |= is_over_share(&answer.await.unwrap());
@@ -71,24 +72,24 @@
     panic!("nothing was refused for the share");
 }
 
-/// Has an engine cache the prefix of `input` by a call of its own.
-async fn warm(engine: SocketAddr, input: &Value) {
+/// Makes an engine cache the prefix of `input` with a direct call.
+async fn warm_prefix_cache(engine: SocketAddr, input: &Value) {
     let call = json!({
         "request": "warm", "stage": "generate", "attempt": 1, "kind": "generate", "model": "chat",
         "input": input, "previous": null, "max_tokens": 1, "deadline_ms": 5_000,
     });
-    let post = http::Method::POST;
-    let reply = send(
+    let method = http::Method::POST;
+    let response = send(
         Version::Http1,
         engine,
-        post,
+        method,
         "/v1/run",
         &call.to_string(),
         &[],
     )
     .await;
-    assert_eq!(reply.status(), http::StatusCode::OK);
-    read_body(reply).await;
+    assert_eq!(response.status(), http::StatusCode::OK);
+    read_body(response).await;
 }
 
 #[tokio::test]
@@ -96,20 +97,20 @@
     let deployment = Deployment::start().await;
     let addr = deployment.caller();
     let engines = &deployment.backends[6..];
-    let first = ask_as(addr, "vakwerk", json!("no prefix")).await;
+    let first = request_as(addr, "vakwerk", json!("no prefix")).await;
     assert_eq!(first.outcome, Outcome::Complete, "{first:?}");
-    // The prefix goes to the engine that is not chosen when both are idle.
+    // Caches the prefix on the engine that is not selected when both are idle.
     let other = usize::from(!engines[0].ran().is_empty());
-    warm(engines[other].addr(), &json!({ "prefix": "rules" })).await;
-    // The events come half a second late and are read once a second.
+    warm_prefix_cache(engines[other].addr(), &json!({ "prefix": "rules" })).await;
+    // Cache events are delayed by half a second and are read once per second.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
-    let before = engines[other].ran().len();
+    let calls_before = engines[other].ran().len();
 
     for number in 0..10 {
         let input = json!({ "prefix": "rules", "ask": number });
-        let answer = ask_as(addr, "vakwerk", input).await;
+        let answer = request_as(addr, "vakwerk", input).await;
         assert_eq!(answer.outcome, Outcome::Complete, "{answer:?}");
     }
 
-    assert_eq!(engines[other].ran().len(), before + 10);
+    assert_eq!(engines[other].ran().len(), calls_before + 10);
 }
--- a/crates/server/tests/shutdown.rs
+++ b/crates/server/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Planned stops of the real binary interrupt nothing.
+//! Graceful shutdown of the binary interrupts no request.
 
 mod common;
 #[path = "common/process.rs"]
@@ -20,16 +20,16 @@
 use serde_json::json;
 use tokio::{net::TcpStream, time};
 
-/// Factor on the service times that keeps a request running for a while.
+/// Slow-down factor that keeps a request running for some time.
 const SLOW_PER_MILLE: u32 = 20_000;
 
-async fn start(drain: &str) -> (Deployment, Entry) {
+async fn start_entry(drain: &str) -> (Deployment, Entry) {
     let deployment = Deployment::without_instances(drain).await;
     let settings = deployment.settings_text("entry-1");
     let entry = tokio::task::spawn_blocking(move || Entry::start(&settings))
         .await
         .unwrap();
-    // The configuration is there when the confirm is answered.
+    // The configuration is in force when the confirmation returns.
     while status(&entry, "/ready").await != StatusCode::OK {
         time::sleep(Duration::from_millis(5)).await;
     }
@@ -43,7 +43,7 @@
         .status()
 }
 
-async fn ended(mut entry: Entry) -> (Option<i32>, String) {
+async fn wait_for_exit(mut entry: Entry) -> (Option<i32>, String) {
     tokio::task::spawn_blocking(move || {
         let code = entry.wait();
         (code, entry.logged())
@@ -63,39 +63,39 @@
 
 #[tokio::test]
 async fn open_stream_and_plain_request_are_finished_before_the_exit() {
-    let (deployment, entry) = start("drain: {grace_ms: 100, timeout_ms: 10000}").await;
+    let (deployment, entry) = start_entry("drain: {grace_ms: 100, timeout_ms: 10000}").await;
     slow_down(&deployment);
     let input = json!("drain");
     let accept = [("accept", "application/x-ndjson")];
     let mut stream = submit(entry.caller, "quote", &input, &accept).await;
-    let first = stream.body_mut().frame().await.unwrap().unwrap();
+    let first_frame = stream.body_mut().frame().await.unwrap().unwrap();
     let caller = entry.caller;
-    let plain = tokio::spawn(async move {
-        let reply = submit(caller, "quote", &json!("drain"), &[]).await;
-        read_answer(reply).await
+    let plain_request = tokio::spawn(async move {
+        let response = submit(caller, "quote", &json!("drain"), &[]).await;
+        read_answer(response).await
     });
     time::sleep(Duration::from_millis(20)).await;
 
     entry.terminate();
 
-    let mut lines = first.into_data().unwrap().to_vec();
+    let mut lines = first_frame.into_data().unwrap().to_vec();
     lines.extend_from_slice(&read_body(stream).await);
-    let last = lines.split(|b| *b == b'\n').rfind(|x| !x.is_empty());
-    let last = serde_json::from_slice(last.unwrap()).unwrap();
+    let final_event = lines.split(|b| *b == b'\n').rfind(|x| !x.is_empty());
+    let final_event = serde_json::from_slice(final_event.unwrap()).unwrap();
     assert!(
-        matches!(&last, AnswerEvent::Final(answer) if answer.output == Some(expected(&input))),
-        "{last:?}"
+        matches!(&final_event, AnswerEvent::Final(answer) if answer.output == Some(expected(&input))),
+        "{final_event:?}"
     );
-    let (status, answer) = plain.await.unwrap();
+    let (status, answer) = plain_request.await.unwrap();
     assert_eq!(status, StatusCode::OK);
     assert_eq!(answer.outcome, Outcome::Complete);
-    let (code, log) = ended(entry).await;
+    let (code, log) = wait_for_exit(entry).await;
     assert_eq!(code, Some(0), "{log}");
 }
 
 #[tokio::test]
 async fn leaving_instance_is_not_ready_but_still_serves_and_keeps_no_connection() {
-    let (_deployment, entry) = start("drain: {grace_ms: 1500, timeout_ms: 10000}").await;
+    let (_deployment, entry) = start_entry("drain: {grace_ms: 1500, timeout_ms: 10000}").await;
     assert_eq!(status(&entry, "/live").await, StatusCode::OK);
 
     entry.terminate();
@@ -103,16 +103,16 @@
     while status(&entry, "/ready").await == StatusCode::OK {
         time::sleep(Duration::from_millis(5)).await;
     }
-    let reply = submit(entry.caller, "quote", &json!(1), &[]).await;
-    assert_eq!(reply.status(), StatusCode::OK);
-    assert_eq!(reply.headers()["connection"], "close");
-    let (code, log) = ended(entry).await;
+    let response = submit(entry.caller, "quote", &json!(1), &[]).await;
+    assert_eq!(response.status(), StatusCode::OK);
+    assert_eq!(response.headers()["connection"], "close");
+    let (code, log) = wait_for_exit(entry).await;
     assert_eq!(code, Some(0), "{log}");
 }
 
 #[tokio::test]
-async fn second_signal_ends_it_at_once() {
-    let (deployment, entry) = start("drain: {grace_ms: 60000, timeout_ms: 60000}").await;
+async fn second_signal_stops_the_process_immediately() {
+    let (deployment, entry) = start_entry("drain: {grace_ms: 60000, timeout_ms: 60000}").await;
     slow_down(&deployment);
     entry.terminate();
     while status(&entry, "/ready").await == StatusCode::OK {
@@ -121,13 +121,13 @@
 
     entry.terminate();
 
-    let (code, log) = ended(entry).await;
+    let (code, log) = wait_for_exit(entry).await;
     assert_eq!(code, Some(5), "{log}");
 }
 
 #[tokio::test]
 async fn drain_timeout_has_an_exit_code_of_its_own() {
-    let (deployment, entry) = start("drain: {grace_ms: 0, timeout_ms: 50}").await;
+    let (deployment, entry) = start_entry("drain: {grace_ms: 0, timeout_ms: 50}").await;
     for backend in &deployment.backends {
         backend.set_faults(BackendFaults {
             freeze: true,
@@ -135,19 +135,20 @@
         });
     }
     let caller = entry.caller;
-    let asked = tokio::spawn(async move { submit(caller, "quote", &json!(1), &[]).await });
+    let pending_request =
+        tokio::spawn(async move { submit(caller, "quote", &json!(1), &[]).await });
     time::sleep(Duration::from_millis(100)).await;
 
     entry.terminate();
 
-    let (code, log) = ended(entry).await;
+    let (code, log) = wait_for_exit(entry).await;
     assert_eq!(code, Some(4), "{log}");
-    asked.abort();
+    pending_request.abort();
 }
 
 #[tokio::test]
-async fn drain_asked_for_by_an_operator_ends_it_too() {
-    let (_deployment, entry) = start("drain: {grace_ms: 0, timeout_ms: 1000}").await;
+async fn drain_requested_by_an_operator_stops_the_process() {
+    let (_deployment, entry) = start_entry("drain: {grace_ms: 0, timeout_ms: 1000}").await;
     let other = json!({ "instance": "entry-2" });
     let (status, _) =
         common::send_as_operator(entry.admin, Method::POST, "/admin/v1/drain", &other).await;
@@ -158,30 +159,30 @@
         common::send_as_operator(entry.admin, Method::POST, "/admin/v1/drain", &own).await;
 
     assert_eq!(status, StatusCode::ACCEPTED);
-    let (code, log) = ended(entry).await;
+    let (code, log) = wait_for_exit(entry).await;
     assert_eq!(code, Some(0), "{log}");
 }
 
 #[tokio::test]
-async fn log_that_nobody_reads_blocks_no_request_and_no_exit() {
+async fn unread_log_output_blocks_no_request_and_no_exit() {
     let settings = "log: {level: debug}\ndrain: {grace_ms: 0, timeout_ms: 10000}";
-    let (_deployment, entry) = start(settings).await;
-    // Each request logs about 2 kB; a pipe holds 64 kB.
+    let (_deployment, entry) = start_entry(settings).await;
+    // Each request logs about 2 kB, and a pipe buffers 64 kB, so the pipe fills up.
     for _ in 0..100 {
-        let reply = submit(entry.caller, "quote", &json!(1), &[]).await;
-        let (status, _) = read_answer(reply).await;
+        let response = submit(entry.caller, "quote", &json!(1), &[]).await;
+        let (status, _) = read_answer(response).await;
         assert_eq!(status, StatusCode::OK);
     }
 
     entry.terminate();
 
-    let (code, _) = ended(entry).await;
+    let (code, _) = wait_for_exit(entry).await;
     assert_eq!(code, Some(0));
 }
 
 #[tokio::test]
 async fn first_request_of_a_connection_made_before_the_drain_is_served() {
-    let (_deployment, entry) = start("drain: {grace_ms: 100, timeout_ms: 10000}").await;
+    let (_deployment, entry) = start_entry("drain: {grace_ms: 100, timeout_ms: 10000}").await;
     let mut connection = Connection::open(entry.caller, Version::Http1)
         .await
         .unwrap();
@@ -190,11 +191,11 @@
         time::sleep(Duration::from_millis(5)).await;
     }
 
-    let ready = client::request(entry.caller, Method::GET, "/live", "").unwrap();
-    let reply = connection.send(ready).await.unwrap();
+    let live_probe = client::request(entry.caller, Method::GET, "/live", "").unwrap();
+    let response = connection.send(live_probe).await.unwrap();
 
-    assert_eq!(reply.status(), StatusCode::OK);
-    assert_eq!(reply.headers()["connection"], "close");
-    let (code, log) = ended(entry).await;
+    assert_eq!(response.status(), StatusCode::OK);
+    assert_eq!(response.headers()["connection"], "close");
+    let (code, log) = wait_for_exit(entry).await;
     assert_eq!(code, Some(0), "{log}");
 }
--- a/crates/server/tests/silence.rs
+++ b/crates/server/tests/silence.rs
@@ -1,4 +1,5 @@
-//! Established connections go silent for good while new ones work.
+//! Established connections to backend servers go silent permanently while new
+//! connections work.
 
 mod common;
 
@@ -12,25 +13,25 @@
 
 const REQUESTS: u32 = 16;
 
-async fn ask_many(deployment: &Deployment, label: &str) {
-    for ask in spawn_many(deployment, label) {
-        ask.await.unwrap();
+async fn send_requests(deployment: &Deployment, label: &str) {
+    for request in spawn_requests(deployment, label) {
+        request.await.unwrap();
     }
 }
 
-/// Starts requests at the same time; each must be answered completely.
-fn spawn_many(deployment: &Deployment, label: &str) -> Vec<tokio::task::JoinHandle<()>> {
+/// Starts concurrent requests; each must get a complete answer.
+fn spawn_requests(deployment: &Deployment, label: &str) -> Vec<tokio::task::JoinHandle<()>> {
     let addr = deployment.caller();
-    let ask = |number| {
+    let request = |number| {
         let input: Value = json!({ "label": label, "number": number });
         tokio::spawn(async move {
-            let reply = submit(addr, "quote", &input, &[]).await;
-            let (status, answer) = read_answer(reply).await;
+            let response = submit(addr, "quote", &input, &[]).await;
+            let (status, answer) = read_answer(response).await;
             assert_eq!(status, StatusCode::OK, "{answer:?}");
             assert_eq!(answer.output, Some(expected(&input)));
         })
     };
-    (0..REQUESTS).map(ask).collect()
+    (0..REQUESTS).map(request).collect()
 }
 
 fn set_faults(deployment: &Deployment, faults: &BackendFaults) {
@@ -39,17 +40,17 @@
     }
 }
 
-/// Lets each backend server's load be read at least twice: connections that are
-/// younger than that are found silent by their calls only.
-async fn let_loads_be_read() {
+/// Waits until the load of each backend server was read at least twice. The silence of
+/// younger connections is detected only by the calls on them.
+async fn wait_for_load_reads() {
     time::sleep(Duration::from_millis(800)).await;
 }
 
 #[tokio::test]
 async fn idle_connections_that_went_silent_cost_no_request_its_deadline() {
     let deployment = Deployment::start().await;
-    let_loads_be_read().await;
-    ask_many(&deployment, "before").await;
+    wait_for_load_reads().await;
+    send_requests(&deployment, "before").await;
     set_faults(
         &deployment,
         &BackendFaults {
@@ -58,26 +59,26 @@
         },
     );
 
-    ask_many(&deployment, "first").await;
+    send_requests(&deployment, "first").await;
 
-    // Those that were silent are never used again.
-    let began = Instant::now();
-    ask_many(&deployment, "second").await;
-    let elapsed = began.elapsed();
+    // The silent connections are not used again.
+    let started_at = Instant::now();
+    send_requests(&deployment, "second").await;
+    let elapsed = started_at.elapsed();
     assert!(elapsed < Duration::from_secs(1), "{elapsed:?}");
 }
 
 #[tokio::test]
 async fn requests_in_flight_make_their_deadline_by_another_connection() {
     let deployment = Deployment::start().await;
-    let_loads_be_read().await;
-    ask_many(&deployment, "before").await;
+    wait_for_load_reads().await;
+    send_requests(&deployment, "before").await;
     let slow = BackendFaults {
         slow_per_mille: 20_000,
         ..BackendFaults::default()
     };
     set_faults(&deployment, &slow);
-    let asks = spawn_many(&deployment, "in flight");
+    let requests = spawn_requests(&deployment, "in flight");
     time::sleep(Duration::from_millis(100)).await;
 
     set_faults(
@@ -88,7 +89,7 @@
         },
     );
 
-    for ask in asks {
-        ask.await.unwrap();
+    for request in requests {
+        request.await.unwrap();
     }
 }
--- a/crates/server/tests/tickets.rs
+++ b/crates/server/tests/tickets.rs
@@ -1,4 +1,4 @@
-//! Tickets that several requests use at the same moment.
+//! Concurrent use of a ticket by several requests.
 
 mod common;
 
@@ -9,22 +9,22 @@
 use savoryvane_wire::caller::Answer;
 use serde_json::{Value, json};
 
-const TICKET: &str = "x-ticket";
-/// Tickets that are used, one after the other.
+const TICKET_HEADER: &str = "x-ticket";
+/// Number of tickets, used in sequence.
 const TICKETS: usize = 40;
-/// Requests that use each of them at the same moment.
-const USERS: usize = 8;
+/// Number of concurrent requests per ticket.
+const REQUESTS_PER_TICKET: usize = 8;
 
-async fn redeem(deployment: &Deployment, input: &Value, ticket: &str) -> Answer {
-    let headers = [(TICKET, ticket)];
-    let reply = submit(deployment.caller(), "hold", input, &headers).await;
-    read_answer(reply).await.1
+async fn request_with_ticket(deployment: &Deployment, input: &Value, ticket: &str) -> Answer {
+    let headers = [(TICKET_HEADER, ticket)];
+    let response = submit(deployment.caller(), "hold", input, &headers).await;
+    read_answer(response).await.1
 }
 
-/// Requests that join a run between its beginning and its entry in the books of
-/// answers were told that nothing was sent.
+/// Guards against a race: a request that arrives between the start of a run and its
+/// registration in the answer cache must not be reported as not started.
 #[tokio::test(flavor = "multi_thread", worker_threads = 8)]
-async fn all_who_use_a_ticket_at_the_same_moment_get_its_one_answer() {
+async fn concurrent_uses_of_a_ticket_get_the_same_answer() {
     let deployment = Deployment::start().await;
     let intent = deployment.intent();
     deployment.confirm(&intent).await;
@@ -33,15 +33,15 @@
     for number in 0..TICKETS {
         let input = json!({ "ticket": number });
         let ticket = request_ticket(deployment.caller()).await;
-        let users: Vec<_> = (0..USERS)
+        let requests: Vec<_> = (0..REQUESTS_PER_TICKET)
             .map(|_| {
                 let (deployment, input) = (Arc::clone(&deployment), input.clone());
                 let ticket = ticket.clone();
-                tokio::spawn(async move { redeem(&deployment, &input, &ticket).await })
+                tokio::spawn(async move { request_with_ticket(&deployment, &input, &ticket).await })
             })
             .collect();
-        for user in users {
-            let answer = user.await.unwrap();
+        for request in requests {
+            let answer = request.await.unwrap();
             assert_eq!(answer.outcome, Outcome::Complete, "{number}: {answer:?}");
             assert_eq!(answer.output, Some(expected(&input)), "{number}");
         }
