--- a/crates/server/src/admin/failure.rs
+++ b/crates/server/src/admin/failure.rs
@@ -34,8 +34,8 @@
 }
 
 impl From<BodyError> for Failure {
-    fn from(fault: BodyError) -> Self {
-        match fault {
+    fn from(err: BodyError) -> Self {
+        match err {
             BodyError::TooLarge => Self::new(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "the body is too large",
--- a/crates/server/src/listener.rs
+++ b/crates/server/src/listener.rs
@@ -39,7 +39,7 @@
 /// Delay after a failed `accept` call, in ms.
 const ACCEPT_RETRY_DELAY_MS: u64 = 50;
 /// Time to wait for the first request of a connection that was opened just before
-/// the drain has_request; closing the connection at once would lose that request.
+/// the drain began; closing the connection at once would lose that request.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 /// Response on a connection whose first request head did not arrive in time.
 const TIMEOUT_RESPONSE: &[u8] =
