--- a/crates/server/src/configuration.rs
+++ b/crates/server/src/configuration.rs
@@ -85,7 +85,7 @@
     }
 
     /// Queues an action for the task that runs actions asynchronously.
-    pub(crate) fn ask(&self, action: Action) {
+    pub(crate) fn enqueue(&self, action: Action) {
         // The receiver is dropped only when the instance ends.
         let _ = self.actions.send(action);
     }
--- a/crates/server/src/controller.rs
+++ b/crates/server/src/controller.rs
@@ -81,7 +81,7 @@
 pub(crate) fn admit(shared: &Arc<Shared>, head: Head) -> Result<Admitted, Refusal> {
     let admitted = resolve_pipeline(shared, &head)
         .and_then(|resolved| check_warrant(&resolved.0, &head).map(|()| resolved))
-        .and_then(|resolved| shared.enter().map(|guard| (resolved, guard)))
+        .and_then(|resolved| shared.track_request().map(|guard| (resolved, guard)))
         .and_then(|resolved| check_quota(shared, &head).map(|()| resolved));
     log_admission(shared, &head, admitted.as_ref().err());
     let ((pipeline, objective), guard) = admitted?;
@@ -167,7 +167,7 @@
     }
 
     /// Updates the metrics and logs the final answer.
-    pub(crate) fn close(&self, completion: &Completion) {
+    pub(crate) fn record_completion(&self, completion: &Completion) {
         let now_ms = self.shared.clock.now_ms();
         let elapsed_ms = now_ms.saturating_sub(self.arrived_at_ms);
         let is_on_time = now_ms <= self.deadline_at_ms;
--- a/crates/server/src/exclusive.rs
+++ b/crates/server/src/exclusive.rs
@@ -101,7 +101,7 @@
                 runner::run(&shared, spec, account, Some(right), updates).await;
             }
             Way::Answer(answer) => {
-                self.account.close(&completion_of(&answer));
+                self.account.record_completion(&completion_of(&answer));
                 // Nobody listens when the caller has gone.
                 let _ = updates.send(Update::Given(answer));
             }
--- a/crates/server/src/follower.rs
+++ b/crates/server/src/follower.rs
@@ -72,7 +72,7 @@
 fn act(shared: &Shared, action: Action) {
     match action {
         Action::Read { .. } | Action::QueryPeer { .. } | Action::WriteCheckpoint(_) => {
-            shared.configuration.ask(action);
+            shared.configuration.enqueue(action);
         }
         Action::Relay { head, records } => relay::send(shared, head, &records),
         Action::Decided {
--- a/crates/server/src/instance.rs
+++ b/crates/server/src/instance.rs
@@ -117,7 +117,7 @@
     /// # Errors
     ///
     /// Returns [`Refusal::Overloaded`] if `max_in_flight` is reached.
-    pub(crate) fn enter(&self) -> std::result::Result<InFlight, Refusal> {
+    pub(crate) fn track_request(&self) -> std::result::Result<InFlight, Refusal> {
         let max = self.settings.limits.max_in_flight;
         let previous = self
             .in_flight
--- a/crates/server/src/runner.rs
+++ b/crates/server/src/runner.rs
@@ -216,7 +216,7 @@
                 if let Some(right) = &self.right {
                     right.finish(self.account.request(), &mut completion);
                 }
-                self.account.close(&completion);
+                self.account.record_completion(&completion);
                 self.update(Update::Final(completion));
             }
         }
