--- a/crates/server/src/answers.rs
+++ b/crates/server/src/answers.rs
@@ -41,7 +41,7 @@
 
 /// State of a run.
 #[derive(Clone, Debug)]
-enum Run {
+enum RunState {
     InFlight,
     Answered(Bytes),
     Withdrawn,
@@ -49,7 +49,7 @@
 
 #[derive(Debug, Default)]
 struct AnswerCache {
-    running: HashMap<AnswerKey, watch::Receiver<Run>>,
+    running: HashMap<AnswerKey, watch::Receiver<RunState>>,
     ended: HashMap<AnswerKey, Bytes>,
     order: VecDeque<AnswerKey>,
     bytes: usize,
@@ -79,7 +79,7 @@
 impl Answers {
     /// Registers a run as in flight.
     pub(crate) fn begin(&self, key: AnswerKey) -> Publisher {
-        let (sender, receiver) = watch::channel(Run::InFlight);
+        let (sender, receiver) = watch::channel(RunState::InFlight);
         self.lock().running.insert(key.clone(), receiver);
         Publisher {
             answers: self.clone(),
@@ -98,11 +98,11 @@
                 (None, None) => return Found::Absent,
             }
         };
-        let has_ended = |run: &Run| !matches!(run, Run::InFlight);
+        let has_ended = |run: &RunState| !matches!(run, RunState::InFlight);
         let ended = time::timeout_at(deadline, running.wait_for(has_ended)).await;
         match ended.map(|run| run.map(|run| run.clone())) {
-            Ok(Ok(Run::Answered(body))) => Found::Ended(body),
-            Ok(Ok(Run::InFlight | Run::Withdrawn) | Err(_)) => Found::Absent,
+            Ok(Ok(RunState::Answered(body))) => Found::Ended(body),
+            Ok(Ok(RunState::InFlight | RunState::Withdrawn) | Err(_)) => Found::Absent,
             Err(_) => Found::InFlight,
         }
     }
@@ -118,7 +118,7 @@
 pub(crate) struct Publisher {
     answers: Answers,
     key: AnswerKey,
-    sender: watch::Sender<Run>,
+    sender: watch::Sender<RunState>,
 }
 
 impl Publisher {
@@ -126,19 +126,19 @@
     pub(crate) fn publish(&self, body: Vec<u8>) {
         let body = Bytes::from(body);
         self.answers.lock().insert(self.key.clone(), body.clone());
-        self.end(Run::Answered(body));
+        self.end(RunState::Answered(body));
     }
 
     /// Ends the run without an answer.
     pub(crate) fn withdraw(&self) {
-        self.end(Run::Withdrawn);
+        self.end(RunState::Withdrawn);
     }
 
-    fn end(&self, run: Run) {
+    fn end(&self, state: RunState) {
         self.sender.send_if_modified(|current| {
-            let is_first_end = matches!(current, Run::InFlight);
+            let is_first_end = matches!(current, RunState::InFlight);
             if is_first_end {
-                *current = run;
+                *current = state;
             }
             is_first_end
         });
