--- a/crates/soak/src/presses.rs
+++ b/crates/soak/src/presses.rs
@@ -1,5 +1,4 @@
-//! Servers that end under some requests, and crash for other reasons, and start again as
-//! other runs.
+//! Press servers: they crash on poison requests and also at random, and restart as new runs.
 
 use std::time::Duration;
 
@@ -8,36 +7,37 @@
 use savoryvane_platform_standin::{Behaviour, RestartSettings, RestartingServers, StoreStandIn};
 use tokio::time::{self, Instant};
 
-use crate::config::{EVENTS, FIRST_ZONE, PRESS};
+use crate::config::{EVENTS_PER_STREAM, FIRST_ZONE, PRESS_SERVICE};
 
-/// Time between two crashes for other reasons, in ms.
+/// Interval between two random crashes.
 const CRASH_GAP_MS: std::ops::Range<u64> = 1_500..4_000;
-/// Most servers that crash together.
-const MOST_CRASHED: usize = 2;
+/// Maximum number of servers that crash together.
+const MAX_CRASHED_TOGETHER: usize = 2;
 
-/// Starts the first ones.
+/// Starts the press servers.
 pub(crate) async fn start(store: &StoreStandIn) -> RestartingServers {
     let settings = RestartSettings {
-        service: PRESS,
+        service: PRESS_SERVICE,
         zone: FIRST_ZONE,
-        behaviour: Behaviour::Streams(EVENTS),
+        behaviour: Behaviour::Streams(EVENTS_PER_STREAM),
         count: 6,
-        restarts_after: Duration::from_millis(700),
-        lapses_after: Duration::from_millis(1_500),
+        restart_delay: Duration::from_millis(700),
+        expiry_delay: Duration::from_millis(1_500),
     };
     RestartingServers::start(store, settings).await
 }
 
-/// Ends some with all that they run now and then, for `length`.
-pub(crate) async fn crash(servers: &RestartingServers, seed: u64, length: Duration) {
+/// Crashes servers at random intervals for `length`, together with all requests in flight
+/// on them.
+pub(crate) async fn crash_some(servers: &RestartingServers, seed: u64, length: Duration) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let end = Instant::now() + length;
+    let ends_at = Instant::now() + length;
     loop {
-        let gap = Duration::from_millis(rng.random_range(CRASH_GAP_MS));
-        if Instant::now() + gap >= end {
+        let pause = Duration::from_millis(rng.random_range(CRASH_GAP_MS));
+        if Instant::now() + pause >= ends_at {
             return;
         }
-        time::sleep(gap).await;
-        servers.end_some(rng.random_range(1..=MOST_CRASHED));
+        time::sleep(pause).await;
+        servers.crash_some(rng.random_range(1..=MAX_CRASHED_TOGETHER));
     }
 }
