--- a/crates/server/src/connections.rs
+++ b/crates/server/src/connections.rs
@@ -201,10 +201,10 @@
             .await;
         match (sent, gate) {
             // Once the gate is shut, a pending write does not happen.
-            (Err(SendError::Sent(reason)), Some(gate)) if !gate.shut() => {
+            (Err(SendError::Sent(reason)), Some(gate)) if !gate.close() => {
                 Err(SendError::NotSent(reason))
             }
-            (Err(SendError::NotSent(reason)), Some(gate)) if gate.shut() => {
+            (Err(SendError::NotSent(reason)), Some(gate)) if gate.close() => {
                 Err(SendError::Sent(reason))
             }
             (sent, _) => sent,
--- a/crates/server/src/exclusive.rs
+++ b/crates/server/src/exclusive.rs
@@ -101,7 +101,7 @@
                 runner::run(&shared, spec, account, Some(right), updates).await;
             }
             Resolution::Answer(answer) => {
-                self.account.close(&completion_of(&answer));
+                self.account.record_completion(&completion_of(&answer));
                 // The receiver is dropped when the caller has disconnected.
                 let _ = updates.send(Update::Given(answer));
             }
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,5 +1,5 @@
-//! The entry instance of savoryvane: sockets and timers round the decisions of
-//! the core.
+//! The server processes of savoryvane: entry instances and gateways. This crate
+//! does the I/O and timing; `savoryvane-core` makes the decisions.
 
 mod admin;
 mod answers;
@@ -52,7 +52,7 @@
 pub use crate::{
     error::{Error, Result},
     gateway::{Gateway, GatewayDrain, GatewayListen, GatewaySettings},
-    instance::{Addresses, Ended, Instance},
+    instance::{Addresses, DrainOutcome, Instance},
     placement_settings::Placement,
     settings::{
         Backends, Claims, Drain, Limits, Listen, Log, LogForm, LogLevel, Platform, Settings,
--- a/crates/server/src/runner.rs
+++ b/crates/server/src/runner.rs
@@ -214,7 +214,7 @@
                 if let Some(right) = &self.right {
                     right.finish(self.account.request(), &mut completion);
                 }
-                self.account.close(&completion);
+                self.account.record_completion(&completion);
                 self.send_update(Update::Final(completion));
             }
         }
