--- a/crates/core/src/forwarding/steps.rs
+++ b/crates/core/src/forwarding/steps.rs
@@ -34,7 +34,7 @@
     /// The request did not run; with `Retry-After`.
     Refusal,
     /// The failure with which the server responded.
-    ServerFailure,
+    ServersFailure,
     /// No response is available; the request may have run.
     NoAnswer,
 }
@@ -79,7 +79,7 @@
         return NextStep::SendAgain;
     }
     NextStep::Give(match end {
-        AttemptEnd::Failed => FinalResponse::ServerFailure,
+        AttemptEnd::Failed => FinalResponse::ServersFailure,
         _ if has_not_run && !may_have_run => FinalResponse::Refusal,
         _ => FinalResponse::NoAnswer,
     })
--- a/crates/server/src/gateway/failover.rs
+++ b/crates/server/src/gateway/failover.rs
@@ -125,7 +125,7 @@
                 (NextStep::Give(FinalResponse::Refusal), _) => {
                     return Err(self.no_server_reason(&caller).await);
                 }
-                (NextStep::Give(FinalResponse::ServerFailure), Some(response)) => {
+                (NextStep::Give(FinalResponse::ServersFailure), Some(response)) => {
                     self.log_answered(&caller, &server, response.status(), sends);
                     return Ok(response.map(http_body::full));
                 }
