--- a/crates/core/src/config/rules.rs
+++ b/crates/core/src/config/rules.rs
@@ -33,7 +33,7 @@
     pub enum Fault {
         /// A name is not valid.
         BadName(name: String) {
-            display("name {:?}: allowed are 1 to 63 lower-case letters, digits, `-` or `.`, starting and ending with a letter or digit", name)
+            display("name {:?}: found what is not 1 to 63 lower-case letters, digits, `-` or `.` between letters or digits", name)
         }
         /// A number is out of its range.
         OutOfRange(field: String, found: u64, min: u64, max: u64) {
--- a/crates/server/src/admin.rs
+++ b/crates/server/src/admin.rs
@@ -117,8 +117,8 @@
     if !progress.has_started {
         return Err(Failure::new(
             StatusCode::SERVICE_UNAVAILABLE,
-            "this instance has no configuration yet, so it can't compute a plan",
-            "use another instance, or retry when this one is ready",
+            "this instance has no configuration yet, so it can't tell what would change",
+            "ask another instance, or again when this one is ready",
         ));
     }
     let state = shared.configuration.state();
@@ -146,12 +146,10 @@
     match progress.age_ms {
         Some(age_ms) if age_ms <= STALE_STATE_MS => None,
         Some(age_ms) => Some(format!(
-            "this instance last confirmed {} s ago that its configuration is the latest",
+            "this instance last knew {} s ago that its configuration is the newest",
             age_ms / 1_000
         )),
-        None => Some(
-            "this instance has not yet confirmed that its configuration is the latest".to_owned(),
-        ),
+        None => Some("this instance never knew its configuration to be the newest".to_owned()),
     }
 }
 
@@ -170,7 +168,7 @@
         return Err(Failure::new(
             StatusCode::CONFLICT,
             format!("this is instance {own}, not {}", drain.instance),
-            "send the request to that instance",
+            "ask the instance that is meant",
         ));
     }
     info!(shared.log, "drain requested by an operator");
@@ -197,7 +195,7 @@
             Failure::new(
                 StatusCode::BAD_REQUEST,
                 "the query has no offset",
-                "use /admin/v1/reach?offset=N",
+                "ask for /admin/v1/reach?offset=N",
             )
         })
 }
@@ -216,7 +214,7 @@
     serde_json::from_slice(&bytes).map_err(|err| {
         Failure::new(
             StatusCode::BAD_REQUEST,
-            format!("the body is not valid for this request: {err}"),
+            format!("the body is not what is asked for here: {err}"),
             "see docs/API.md for the body of this request",
         )
     })
--- a/crates/server/src/admin/failure.rs
+++ b/crates/server/src/admin/failure.rs
@@ -48,7 +48,7 @@
             ),
             BodyError::Broken => Self::new(
                 StatusCode::BAD_REQUEST,
-                "the body is incomplete or malformed",
+                "the body broke off",
                 "send it again",
             ),
         }
